--- a/tools/house.mjs
+++ b/tools/house.mjs
@@ -3,19 +3,26 @@
 import ts from 'typescript';
 
 const MOST = 250;
-// The field's own terms win. Packages named here have them; in the others a word keeps its old name until it is renamed
-// everywhere at once.
-const NEW =
-  /^(packages\/(?:router|routesim|registry|clerk\/src\/fleet|yard\/src\/routed|(?:counter|sim|clerk)\/src\/lending)|platform)\//;
-// The product's routes by host and path are the field's; the older rules that callers name are another thing.
-const FORMS = /^packages\/forms\/src\/(route|routing)\.ts$/;
+// Folders whose wording has been brought to the field's terms: the words of the earlier house style fail there.
+const DONE = /^packages\/(forms|purge|registry|router|counter)\//;
+const WITHDRAWN = {
+  ...{ charter: 'configuration', charters: 'configurations', casting: 'stage assignment', slip: 'notice', slips: 'notices' },
+  ...{ shelf: 'record store', town: 'backend inventory', deed: 'event', deeds: 'events', diary: 'event log', helm: 'view changer' },
+  ...{ lot: 'rendezvous hash', dice: 'random source', chance: 'random source', born: 'incarnation', shun: 'ejection', shuns: 'ejection' },
+  ...{ told: 'reported', bent: 'corrupted', meets: 'requires', motor: 'driver', deedlog: 'event log', hail: 'clock probe' },
+  ...{ hails: 'clock probes', voice: 'protocol version', sights: 'observations', worry: 'suspicion', certainty: 'confidence' },
+  ...{ sink: 'response writer', headline: 'head check-in', heard: 'received', gossipy: 'gossip', mates: 'peers' },
+};
+// A route was a `rule` in these folders; lending has rules of its own.
+const ROUTED_RULES = /^packages\/(?:counter|forms)\/src\/(?!lending)/;
+// A name that leaves the process keeps its older word (docs/outward-names.txt), so a property may be named so.
+const OUTWARD = new Set(readFileSync('docs/outward-names.txt', 'utf8').split('\n').filter((l) => l !== '' && !l.startsWith('#')));
 // Turned round everywhere. A key that others see keeps the old word (docs/clashes.md), so a property may be named so.
 const GONE = { bounce: 'refuse', bounces: 'refuses', bounced: 'refused', waitlist: 'queue', gate: 'admission', gated: 'admitted', gating: 'admitting', proxy: 'forward', proxies: 'forwards', proxied: 'forwarded', select: 'choice', selecting: 'choosing', selected: 'chosen', claim: 'lease', claims: 'leases', site: 'zone', sites: 'zones', visit: 'request', visits: 'requests', visiting: 'requesting' };
 // Turned round in the older packages; the routed ones have them still.
 const ROUTED = /^packages\/(router|routesim)\//;
 const OLDER = { startup: 'settings' };
 const KEPT = new Set(['waitlist', 'gated', 'startup', 'claim', 'claims', 'site', 'sites', 'visit']);
-const NOT = { route: 'rule', configuration: 'charter', config: 'charter' };
 const faults = [];
 let files = 0, lines = 0, proofs = 0, tables = 0;
 const words = (s) => s.replace(/([a-z0-9])([A-Z])/g, '$1 $2').split(/[ _-]+/).map((w) => w.toLowerCase());
@@ -30,11 +37,17 @@
   const src = ts.createSourceFile(path, text, ts.ScriptTarget.ES2023, true);
   const out = new Set();
   const bare = path.endsWith('/index.ts') || path.endsWith('.test.ts') || path.endsWith('/generated.ts');
-  const told = { ...(NEW.test(path) ? {} : FORMS.test(path) ? { ...NOT, route: undefined } : NOT), ...GONE, ...(ROUTED.test(path) ? {} : OLDER) };
+  const withdrawn = {
+    ...GONE,
+    ...(ROUTED.test(path) ? {} : OLDER),
+    ...(DONE.test(path) ? WITHDRAWN : {}),
+    ...(DONE.test(path) && ROUTED_RULES.test(path) ? { rule: 'route', rules: 'routes' } : {}),
+  };
   const name = (id) => {
     if (!id || !ts.isIdentifier(id)) return;
-    if (KEPT.has(id.text) && (ts.isPropertySignature(id.parent) || ts.isPropertyAssignment(id.parent))) return;
-    for (const w of words(id.text)) if (Object.hasOwn(told, w) && told[w]) faults.push(`${path}:${src.getLineAndCharacterOfPosition(id.pos).line + 1}: '${id.text}' is our '${told[w]}'`);
+    const property = ts.isPropertySignature(id.parent) || ts.isPropertyAssignment(id.parent);
+    if (property && (KEPT.has(id.text) || OUTWARD.has(id.text))) return;
+    for (const w of words(id.text)) if (Object.hasOwn(withdrawn, w)) faults.push(`${path}:${src.getLineAndCharacterOfPosition(id.pos).line + 1}: '${id.text}' has a withdrawn word, '${w}': the field's term is '${withdrawn[w]}'`);
   };
   const walk = (node) => {
     if ((ts.isVariableDeclaration(node) || ts.isParameter(node) || ts.isPropertySignature(node) || ts.isTypeAliasDeclaration(node)
