--- a/packages/forms/src/awake.ts
+++ b/packages/forms/src/awake.ts
@@ -1,43 +1,46 @@
 import type { Clock } from './clock.js';
 
-const BEAT = 250;
-const SLEPT = 1000;
+const CHECK_PERIOD_MS = 250;
+/** A gap between two checks that is longer than this counts as a suspension. */
+const SUSPENSION_THRESHOLD_MS = 1000;
 
 /**
- * Tells a daemon that it slept. A frozen process sees a gap on the monotonic clock; a paused machine sees it on the
- * wall clock only, where a forward jump looks the same and is taken for sleep too, which costs a moment and no more.
- * Invariant: whoever is about to act on something that ages looks first, so nothing slips in between waking and the
- * next beat.
+ * Detects that the daemon was suspended and calls `onResume`. A frozen process shows a gap on the monotonic clock. A
+ * paused machine shows it on the wall clock only; a forward jump of the wall clock looks the same and is treated as a
+ * suspension too, which costs no more than a short interruption of service.
+ * Invariant: code that is about to act on anything that expires calls `check` first, so that it cannot act on expired
+ * state between the resumption and the next periodic check.
  */
 export const Awake = {
-  make(clock: Clock, woke: () => void) {
-    let mono = clock.mono();
-    let wall = clock.wall();
-    let off = false;
-    let naps = 0;
-    const look = (): void => {
-      const gap = Math.max(clock.mono() - mono, clock.wall() - wall);
-      mono = clock.mono();
-      wall = clock.wall();
-      if (gap <= SLEPT) return;
-      naps++;
-      woke();
+  make(clock: Clock, onResume: () => void) {
+    let lastMono = clock.mono();
+    let lastWall = clock.wall();
+    let stopped = false;
+    let suspensions = 0;
+    const check = (): void => {
+      const gap = Math.max(clock.mono() - lastMono, clock.wall() - lastWall);
+      lastMono = clock.mono();
+      lastWall = clock.wall();
+      if (gap <= SUSPENSION_THRESHOLD_MS) return;
+      suspensions++;
+      onResume();
     };
-    const beat = (): void => {
-      if (off) return;
-      look();
-      (clock.beat ?? clock.after)(BEAT, beat);
+    const tick = (): void => {
+      if (stopped) return;
+      check();
+      (clock.beat ?? clock.after)(CHECK_PERIOD_MS, tick);
     };
     return {
-      start: beat,
+      /** Checks now and then periodically until `stop`. */
+      start: tick,
       stop: (): void => {
-        off = true;
+        stopped = true;
       },
-      look,
-      /** How often the daemon has slept, as looked for now. */
+      look: check,
+      /** Checks now and returns the number of suspensions detected so far. */
       slept: (): number => {
-        look();
-        return naps;
+        check();
+        return suspensions;
       },
     };
   },
--- a/packages/forms/src/beatclock.ts
+++ b/packages/forms/src/beatclock.ts
@@ -1,18 +1,18 @@
 import type { Clock } from './clock.js';
 
 /**
- * A clock on which work that comes again and again falls on common beats, so that a daemon with many small duties wakes
- * once for those that are due about then. Invariants: a beat comes within half a `grid` of when it was asked for; what
- * is asked for in less than a grid, and all that is asked of `after`, comes at its own time.
+ * A clock that coalesces the timers of recurring tasks on a common grid, so that a daemon with many small periodic tasks
+ * wakes once for all that are due at about the same time. Invariants: a coalesced timer fires within half a grid step of
+ * the requested time; delays shorter than a grid step, and all timers set with `after`, fire at their own time.
  */
 export const BeatClock = {
-  make(clock: Clock, grid: number): Clock {
+  make(clock: Clock, gridMs: number): Clock {
     return {
       ...clock,
       beat(ms, fn) {
-        if (ms < grid) return clock.after(ms, fn);
+        if (ms < gridMs) return clock.after(ms, fn);
         const now = clock.mono();
-        return clock.after(Math.max(1, Math.ceil(Math.round((now + ms) / grid) * grid - now)), fn);
+        return clock.after(Math.max(1, Math.ceil(Math.round((now + ms) / gridMs) * gridMs - now)), fn);
       },
     };
   },
--- a/packages/forms/src/check.ts
+++ b/packages/forms/src/check.ts
@@ -6,40 +6,45 @@
 import { Ok } from './ok.js';
 import type { Result } from './result.js';
 
-type Told = { instancePath: string; message: string; keyword: string; params?: { requiredProperties?: string[] } };
-type Made = { Check(v: unknown): boolean; Errors(v: unknown): Iterable<Told> };
-const plain = (e: Told): Fault[] => {
-  if (e.keyword === 'required')
-    return (e.params?.requiredProperties ?? []).map((n) => ({ path: `${e.instancePath}/${n}`, why: 'is missing' }));
-  return [{ path: e.instancePath, why: e.keyword === 'boolean' ? 'is not known' : e.message }];
+type SchemaError = { instancePath: string; message: string; keyword: string; params?: { requiredProperties?: string[] } };
+type CompiledSchema = { Check(v: unknown): boolean; Errors(v: unknown): Iterable<SchemaError> };
+const faultsOf = (error: SchemaError): Fault[] => {
+  if (error.keyword === 'required')
+    return (error.params?.requiredProperties ?? []).map((name) => ({
+      path: `${error.instancePath}/${name}`,
+      why: 'is missing',
+    }));
+  // An unknown key is reported at its own path as a value that the schema `false` refuses.
+  return [{ path: error.instancePath, why: error.keyword === 'boolean' ? 'is not a known key' : error.message }];
 };
-const made = new WeakMap<object, Made>();
+const compiledSchemas = new WeakMap<object, CompiledSchema>();
 
-/** Checks a value against a schema, once compiled for each schema. */
+/** Validates values against schemas. Each schema is compiled once. */
 export const Check = {
-  is(form: TSchema, v: unknown): boolean {
-    return Check.tool(form).Check(v);
+  is(schema: TSchema, v: unknown): boolean {
+    return Check.compiled(schema).Check(v);
   },
-  parse<S extends TSchema>(form: S, v: unknown): Result<NoInfer<Static<S>>, Fault[]> {
-    const tool = Check.tool(form);
-    if (tool.Check(v)) return Ok(v as NoInfer<Static<S>>);
-    const list = [...tool.Errors(v)].filter((e) => e.keyword !== 'additionalProperties').flatMap(plain);
-    return Err(list.length > 0 ? list.slice(0, 50) : [{ path: '', why: 'does not fit' }]);
+  parse<S extends TSchema>(schema: S, v: unknown): Result<NoInfer<Static<S>>, Fault[]> {
+    const compiled = Check.compiled(schema);
+    if (compiled.Check(v)) return Ok(v as NoInfer<Static<S>>);
+    const faults = [...compiled.Errors(v)].filter((e) => e.keyword !== 'additionalProperties').flatMap(faultsOf);
+    return Err(faults.length > 0 ? faults.slice(0, 50) : [{ path: '', why: 'does not match the schema' }]);
   },
-  /** The same, but keys that the schema does not know are left out. */
-  lenient<S extends TSchema>(form: S, v: unknown): Result<NoInfer<Static<S>>, Fault[]> {
-    const got = Check.parse(form, v);
-    return got.ok ? got : Check.parse(form, Check.known(form, v));
+  /** Like `parse`, but removes keys that the schema does not know. */
+  parseLenient<S extends TSchema>(schema: S, v: unknown): Result<NoInfer<Static<S>>, Fault[]> {
+    const parsed = Check.parse(schema, v);
+    return parsed.ok ? parsed : Check.parse(schema, Check.withoutUnknownKeys(schema, v));
   },
-  /** The value without keys that the schema does not know. */
-  known(form: TSchema, v: unknown): unknown {
-    return Check.tool(form).Check(v) ? v : Value.Clean(form, Value.Clone(v));
+  /** The value without the keys that the schema does not know. */
+  withoutUnknownKeys(schema: TSchema, v: unknown): unknown {
+    return Check.compiled(schema).Check(v) ? v : Value.Clean(schema, Value.Clone(v));
   },
-  tool(form: TSchema): Made {
-    const old = made.get(form);
-    if (old) return old;
-    const tool = Compile(form) as unknown as Made;
-    made.set(form, tool);
-    return tool;
+  /** The compiled form of a schema, from the cache if it was used before. */
+  compiled(schema: TSchema): CompiledSchema {
+    const known = compiledSchemas.get(schema);
+    if (known) return known;
+    const compiled = Compile(schema) as unknown as CompiledSchema;
+    compiledSchemas.set(schema, compiled);
+    return compiled;
   },
 };
--- a/packages/forms/src/clock.ts
+++ b/packages/forms/src/clock.ts
@@ -1,11 +1,14 @@
 /**
- * Time as a daemon sees it. `mono` never goes back and is what every age and term is taken from;
- * `wall` may jump and is only for people to read.
+ * The clocks and timers of a daemon. `mono` never goes back, and all ages and terms are computed from it; `wall` may
+ * jump and is only for display.
  */
 export type Clock = {
+  /** Monotonic time in ms. */
   mono(): number;
+  /** Wall-clock time in ms since the epoch. */
   wall(): number;
+  /** Calls `fn` once after `ms`; the returned function cancels the timer. */
   after(ms: number, fn: () => void): () => void;
-  /** The same for what comes again and again, at about that time: with whatever else is due then. */
+  /** Like `after`, for recurring tasks: the time may shift slightly so that timers due close together fire together. */
   beat?(ms: number, fn: () => void): () => void;
 };
--- a/packages/forms/src/deed.ts
+++ b/packages/forms/src/deed.ts
@@ -1,2 +1,10 @@
-/** One line of a run's history, for the checker and the tracer. Nothing in a daemon reads it back. */
-export type Deed = { what: string; who: string; at: number; [key: string]: unknown };
+/** One event of a run's history, read by the consistency checker and the tracer. Daemons never read it back. */
+export type Deed = {
+  /** The kind of event. */
+  what: string;
+  /** The daemon that recorded it. */
+  who: string;
+  /** When it happened, in ms. */
+  at: number;
+  [key: string]: unknown;
+};
--- a/packages/forms/src/dice.ts
+++ b/packages/forms/src/dice.ts
@@ -1,6 +1,6 @@
 import type { Chance } from './chance.js';
 
-/** Draws from chance. */
+/** Random draws from a random source. */
 export const Dice = {
   /** A small seeded generator (mulberry32). */
   seeded(seed: number): Chance {
@@ -14,20 +14,23 @@
       },
     };
   },
-  int: (c: Chance, n: number): number => Math.floor(c.real() * n),
-  one<T>(c: Chance, list: readonly T[]): T | undefined {
-    return list[Dice.int(c, list.length)];
+  /** An integer from 0 to n - 1. */
+  int: (random: Chance, n: number): number => Math.floor(random.real() * n),
+  /** One item of the list; undefined if the list is empty. */
+  one<T>(random: Chance, list: readonly T[]): T | undefined {
+    return list[Dice.int(random, list.length)];
   },
-  /** n distinct items, each as likely as any other. */
-  some<T>(c: Chance, list: readonly T[], n: number): T[] {
+  /** Up to n distinct items, all equally likely. */
+  some<T>(random: Chance, list: readonly T[], n: number): T[] {
     const rest = [...list];
-    const out: T[] = [];
-    while (out.length < n && rest.length > 0) out.push(...rest.splice(Dice.int(c, rest.length), 1));
-    return out;
+    const sample: T[] = [];
+    while (sample.length < n && rest.length > 0) sample.push(...rest.splice(Dice.int(random, rest.length), 1));
+    return sample;
   },
-  word(c: Chance): string {
-    let s = '';
-    for (let i = 0; i < 12; i++) s += Dice.int(c, 16).toString(16);
-    return s;
+  /** An identifier of 12 hexadecimal digits. */
+  word(random: Chance): string {
+    let id = '';
+    for (let i = 0; i < 12; i++) id += Dice.int(random, 16).toString(16);
+    return id;
   },
 };
--- a/packages/forms/src/disk.ts
+++ b/packages/forms/src/disk.ts
@@ -1,13 +1,17 @@
 import type { Result } from './result.js';
 
 /**
- * The data folder. One file a version.
- * Invariant: once put has settled well, the version outlives any stop of the machine short of losing the disk.
+ * Durable storage of versioned values in the daemon's data folder, one file per version.
+ * Invariant: once `put` has succeeded, the version survives any stop of the machine short of the loss of the disk.
  */
 export type Disk = {
+  /** Stores version `n` of the value of a kind. */
   put(kind: string, n: number, v: unknown): Promise<Result<void, string>>;
-  /** The newest version whole; `bad` when a newer file is damaged. Looking changes nothing. */
+  /**
+   * The newest intact version of a kind; null if there is none. `bad` is set if a newer file is damaged; `v` is then
+   * null if no file is intact. Reading changes nothing on disk.
+   */
   last(kind: string): Promise<Result<{ n: number; v: unknown; bad: boolean } | null, string>>;
-  /** Sets every file aside, out of the way of what comes after; those that say who the owner is go first. */
+  /** Renames all current files out of the way of later versions, starting with those that identify the owner. */
   aside(): Promise<Result<void, string>>;
 };
--- a/packages/forms/src/doc.ts
+++ b/packages/forms/src/doc.ts
@@ -1,10 +1,11 @@
 import { Type, type Static } from 'typebox';
 import { Mark } from './mark.js';
 
-/** One version of one piece of shared state, with its body. Immutable once made. */
+/** One version of one shared record, with its content. Immutable once created. */
 export const Doc = Type.Object(
   {
     name: Type.String({ minLength: 1, maxLength: 80 }),
+    /** The version stamp. */
     mark: Mark,
     body: Type.Unknown(),
   },
--- a/packages/forms/src/fading.ts
+++ b/packages/forms/src/fading.ts
@@ -1,32 +1,34 @@
-type Entry<V> = { value: V; until: number };
+type Entry<V> = { value: V; expiresAt: number };
 
 /**
- * A table whose entries end by themselves. Invariants: an entry past its end is not seen; no more than `most` are
- * kept, and the one that was set longest ago goes first.
+ * A map whose entries expire. Invariants: an expired entry is never returned; at most `maxEntries` are kept, and the
+ * entry that was set longest ago is evicted first.
  */
 export const Fading = {
-  make<V>(mono: () => number, most: number) {
-    const rows = new Map<string, Entry<V>>();
-    const tidy = (): void => {
-      for (const [k, e] of rows) if (e.until <= mono()) rows.delete(k);
-      for (const k of rows.keys()) {
-        if (rows.size <= most) break;
-        rows.delete(k);
+  make<V>(mono: () => number, maxEntries: number) {
+    const entries = new Map<string, Entry<V>>();
+    const evict = (): void => {
+      for (const [key, entry] of entries) if (entry.expiresAt <= mono()) entries.delete(key);
+      for (const key of entries.keys()) {
+        if (entries.size <= maxEntries) break;
+        entries.delete(key);
       }
     };
     return {
+      /** Sets an entry that expires after `ms`. */
       set(key: string, value: V, ms: number): void {
-        rows.delete(key);
-        rows.set(key, { value, until: mono() + ms });
-        tidy();
+        entries.delete(key);
+        entries.set(key, { value, expiresAt: mono() + ms });
+        evict();
       },
       get(key: string): V | undefined {
-        const e = rows.get(key);
-        return e && e.until > mono() ? e.value : undefined;
+        const entry = entries.get(key);
+        return entry && entry.expiresAt > mono() ? entry.value : undefined;
       },
-      delete: (key: string): boolean => rows.delete(key),
-      all: (): V[] => [...rows.values()].filter((e) => e.until > mono()).map((e) => e.value),
-      size: (): number => rows.size,
+      delete: (key: string): boolean => entries.delete(key),
+      all: (): V[] => [...entries.values()].filter((entry) => entry.expiresAt > mono()).map((entry) => entry.value),
+      /** The number of entries kept, expired ones included. */
+      size: (): number => entries.size,
     };
   },
 };
--- a/packages/forms/src/fault.ts
+++ b/packages/forms/src/fault.ts
@@ -1,5 +1,5 @@
 import { Type, type Static } from 'typebox';
 
-/** One thing wrong with what was given, named by its path. */
+/** One validation error: the path of the value concerned and what is wrong with it. */
 export const Fault = Type.Object({ path: Type.String(), why: Type.String() }, { additionalProperties: false });
 export type Fault = Static<typeof Fault>;
--- a/packages/forms/src/flags.ts
+++ b/packages/forms/src/flags.ts
@@ -2,12 +2,13 @@
 
 type Flag = { name: string; help: string; kind: 'text' | 'list' | 'yes' };
 
-/** A daemon's flags: the same names as the keys of its settings file. */
+/** Parses a daemon's command-line flags. They are named like the keys of its settings file. */
 export const Flags = {
+  /** The flags and the path of the settings file; or, if the program is to end, its output `say` and its exit code. */
   read(
     program: string,
     about: string,
-    list: readonly Flag[],
+    known: readonly Flag[],
     argv: readonly string[],
   ): { flags: Record<string, unknown>; file: string | undefined } | { say: string; code: number } {
     const help = [
@@ -15,11 +16,11 @@
       '',
       `usage: ${program} [--startup FILE] [--KEY VALUE ...]`,
       '',
-      '  --startup FILE   a JSON file with the keys below; flags go over it',
-      ...list.map((f) => `  --${f.name.padEnd(14)} ${f.help}${f.kind === 'list' ? ' (may be given again)' : ''}`),
-      '  --help           this text',
+      '  --startup FILE   a JSON file with the keys below; flags override it',
+      ...known.map((f) => `  --${f.name.padEnd(14)} ${f.help}${f.kind === 'list' ? ' (may be repeated)' : ''}`),
+      '  --help           print this text',
       '',
-      'exit codes: 0 stopped cleanly, 1 failed while running, 2 wrong settings',
+      'exit codes: 0 stopped cleanly, 1 failed while running, 2 invalid settings',
     ].join('\n');
     try {
       const { values } = parseArgs({
@@ -30,7 +31,7 @@
           startup: { type: 'string' },
           help: { type: 'boolean' },
           ...Object.fromEntries(
-            list.map((f) => [
+            known.map((f) => [
               f.name,
               f.kind === 'yes'
                 ? { type: 'boolean' as const }
@@ -41,8 +42,8 @@
           ),
         },
       });
-      const { startup: file, help: asked, ...flags } = values as Record<string, unknown>;
-      if (asked) return { say: help, code: 0 };
+      const { startup: file, help: helpRequested, ...flags } = values as Record<string, unknown>;
+      if (helpRequested) return { say: help, code: 0 };
       return { flags, file: file as string | undefined };
     } catch (e) {
       return { say: `${program}: ${e instanceof Error ? e.message : String(e)}`, code: 2 };
--- a/packages/forms/src/folder.ts
+++ b/packages/forms/src/folder.ts
@@ -1,8 +1,9 @@
 /**
- * The few file operations that a disk is built of, so that the same disk code runs on a real folder and on a simulated
- * one.
- * Invariants: what was written lasts once `sync` of that file is done; a name given, changed or taken away lasts once
- * `settle` is done; before that a stop of the machine may undo it, alone or with others. Each throws on failure.
+ * The file operations that durable storage is built on, so that the same storage code runs on a real folder and on a
+ * simulated one. Each operation rejects on failure.
+ * Invariants: the content of a file is durable once `syncFile` of that file is done; a file that was created, renamed or
+ * removed stays so once `syncFolder` is done. Before that a stop of the machine may undo any of these changes, alone or
+ * with others.
  */
 export type Folder = {
   list(): Promise<string[]>;
--- a/packages/forms/src/framer.ts
+++ b/packages/forms/src/framer.ts
@@ -2,41 +2,44 @@
 import { Check } from './check.js';
 import { Frame } from './frame.js';
 
-const MOST = 8 * 1024 * 1024;
+const MAX_LINE_BYTES = 8 * 1024 * 1024;
 
-/** Cuts a connection's bytes into frames. Invariant: after a frame that does not fit, nothing more is read. */
+/**
+ * Reads and writes frames on a connection, one JSON document per line. Invariant: nothing is read after an invalid frame.
+ */
 export const Framer = {
-  read(sock: Socket, take: (f: Frame) => void, bad: (why: string) => void): void {
-    let held: Buffer[] = [];
-    let size = 0;
-    let off = false;
+  /** Calls `onFrame` for each frame, and `onInvalid` once at the first one that is invalid. */
+  read(sock: Socket, onFrame: (f: Frame) => void, onInvalid: (why: string) => void): void {
+    let pending: Buffer[] = [];
+    let pendingBytes = 0;
+    let stopped = false;
     const fail = (why: string): void => {
-      off = true;
-      bad(why);
+      stopped = true;
+      onInvalid(why);
     };
-    const line = (text: string): void => {
+    const parseLine = (text: string): void => {
       let v: unknown;
       try {
         v = JSON.parse(text);
       } catch {
-        return fail('a line that is not JSON');
+        return fail('received a line that is not JSON');
       }
-      if (!Check.is(Frame, v)) return fail('a line that is no frame');
-      take(v as Frame);
+      if (!Check.is(Frame, v)) return fail('received a line that is not a valid frame');
+      onFrame(v as Frame);
     };
-    sock.on('data', (buf: Buffer) => {
-      let rest = buf;
-      for (let i = rest.indexOf(10); i >= 0 && !off; i = rest.indexOf(10)) {
-        const text = Buffer.concat([...held, rest.subarray(0, i)]).toString('utf8');
-        held = [];
-        size = 0;
+    sock.on('data', (data: Buffer) => {
+      let rest = data;
+      for (let i = rest.indexOf(10); i >= 0 && !stopped; i = rest.indexOf(10)) {
+        const text = Buffer.concat([...pending, rest.subarray(0, i)]).toString('utf8');
+        pending = [];
+        pendingBytes = 0;
         rest = rest.subarray(i + 1);
-        line(text);
+        parseLine(text);
       }
-      if (off || rest.length === 0) return;
-      held.push(rest);
-      size += rest.length;
-      if (size > MOST) fail('a line too long');
+      if (stopped || rest.length === 0) return;
+      pending.push(rest);
+      pendingBytes += rest.length;
+      if (pendingBytes > MAX_LINE_BYTES) fail('received a line of more than 8 MiB');
     });
   },
   write(sock: Socket, f: Frame): void {
--- a/packages/forms/src/hash.ts
+++ b/packages/forms/src/hash.ts
@@ -1,13 +1,15 @@
 import { createHash } from 'node:crypto';
 
-/** Digests. */
+/** Hash functions. */
 export const Hash = {
-  text: (s: string): string => createHash('sha256').update(s).digest('hex').slice(0, 24),
-  of: (v: unknown): string => Hash.text(JSON.stringify(v) ?? 'undefined'),
-  /** A quick 32-bit number for rendezvous and ranges (FNV-1a with a final mix). */
-  num(s: string): number {
+  /** The first 24 hexadecimal digits of the SHA-256 of a text. */
+  text: (text: string): string => createHash('sha256').update(text).digest('hex').slice(0, 24),
+  /** The same digest of a value's JSON. */
+  of: (value: unknown): string => Hash.text(JSON.stringify(value) ?? 'undefined'),
+  /** A fast, non-cryptographic 32-bit hash for rendezvous hashing and range digests (FNV-1a with a final mix). */
+  num(text: string): number {
     let h = 0x811c9dc5;
-    for (let i = 0; i < s.length; i++) h = Math.imul(h ^ s.charCodeAt(i), 0x01000193);
+    for (let i = 0; i < text.length; i++) h = Math.imul(h ^ text.charCodeAt(i), 0x01000193);
     h ^= h >>> 16;
     h = Math.imul(h, 0x85ebca6b);
     h ^= h >>> 13;
--- a/packages/forms/src/indices.ts
+++ b/packages/forms/src/indices.ts
@@ -1,20 +1,21 @@
 /**
- * Names mapped to dense indices at the door, so that what is counted by name is kept in plain arrays.
- * Invariants: one name has one index for as long as the daemon lives; indices run from 0 without a gap.
+ * Maps names to dense indices where they enter the daemon, so that statistics by name are kept in plain arrays.
+ * Invariants: a name keeps its index for as long as the daemon lives; indices run from 0 without gaps.
  */
 export const Indices = {
   make() {
-    const by = new Map<string, number>();
+    const indices = new Map<string, number>();
     const names: string[] = [];
     return {
+      /** The index of a name; a new name gets the next free index. */
       of(name: string): number {
-        const old = by.get(name);
-        if (old !== undefined) return old;
-        by.set(name, names.length);
+        const known = indices.get(name);
+        if (known !== undefined) return known;
+        indices.set(name, names.length);
         names.push(name);
         return names.length - 1;
       },
-      name: (i: number): string | undefined => names[i],
+      name: (index: number): string | undefined => names[index],
       size: (): number => names.length,
     };
   },
--- a/packages/forms/src/keydigest.ts
+++ b/packages/forms/src/keydigest.ts
@@ -1,12 +1,12 @@
 import { createHash } from 'node:crypto';
 
-/** Characters of base64 that are kept: 132 bits, more than a key has. */
-const LENGTH = 22;
+/** Base64 characters that are kept: 132 bits, more than the entropy of a key. */
+const DIGEST_CHARS = 22;
 
 /**
- * What a tenant's key is known by wherever it need not be read back: its SHA-256. Looking a digest up tells an attacker
- * by its time nothing about a key, since nobody can choose what the digest of a guess begins with.
+ * The SHA-256 digest that stands for a tenant's key wherever the key itself is not needed. A lookup by digest leaks
+ * nothing about a key through its timing, since an attacker cannot choose the prefix of a guess's digest.
  */
 export const KeyDigest = {
-  of: (key: string): string => createHash('sha256').update(key).digest('base64url').slice(0, LENGTH),
+  of: (key: string): string => createHash('sha256').update(key).digest('base64url').slice(0, DIGEST_CHARS),
 };
--- a/packages/forms/src/lendingclauses.ts
+++ b/packages/forms/src/lendingclauses.ts
@@ -1,32 +1,39 @@
 import type { Charter } from './charter.js';
 import type { Fault } from './fault.js';
 
-/** Answers of a burst are kept by the core, so they are short. */
-const LONGEST = 256;
+/** The longest answer, in pieces, that a burst may have: the control replicas store the answers of bursts. */
+const MAX_ANSWER_PIECES = 256;
 
-/** What a charter's lending says of the rest of it. */
-export const LendingClauses = {
+/** Validates the lending section of a configuration against its routes and servers. */
+export const LendingValidator = {
   faults(c: Charter): Fault[] {
-    const l = c.lending;
-    if (!l) return [];
-    const live = c.rules.filter((r) => !l.rules.includes(r.name));
-    const least = Math.min(...live.map((r) => r.urgency));
-    const out = l.rules.flatMap((name, i): Fault[] => {
+    const lending = c.lending;
+    if (!lending) return [];
+    const liveRoutes = c.rules.filter((r) => !lending.rules.includes(r.name));
+    const lowestLiveUrgency = Math.min(...liveRoutes.map((r) => r.urgency));
+    const faults = lending.rules.flatMap((name, i): Fault[] => {
       const path = `/lending/rules/${i}`,
-        rule = c.rules.find((r) => r.name === name);
-      if (l.rules.indexOf(name) < i) return [{ path, why: `names ${name} again` }];
-      if (!rule) return [{ path, why: `names the unknown rule ${name}` }];
-      if (name === c.fallback) return [{ path, why: `names ${name}, which requests that name none fall back to` }];
-      if (rule.urgency >= least) return [{ path, why: `${name} is not less urgent than every rule of live work` }];
-      if (rule.pieces > LONGEST) return [{ path, why: `${name} has answers of more than ${LONGEST} pieces` }];
+        route = c.rules.find((r) => r.name === name);
+      if (lending.rules.indexOf(name) < i) return [{ path, why: `names ${name} again` }];
+      if (!route) return [{ path, why: `names the unknown rule ${name}` }];
+      if (name === c.fallback) return [{ path, why: `names ${name}, which is the fallback for requests without a rule` }];
+      if (route.urgency >= lowestLiveUrgency)
+        return [{ path, why: `${name} is not less urgent than every rule for live traffic` }];
+      if (route.pieces > MAX_ANSWER_PIECES)
+        return [{ path, why: `${name} allows answers of more than ${MAX_ANSWER_PIECES} pieces` }];
       return [];
     });
-    if (live.length === 0) out.push({ path: '/lending/rules', why: 'leaves no rule for live work' });
-    for (const p of ['prefill', 'decode'] as const) {
-      const all = c.servers.filter((s) => s.part === p || s.part === 'either').reduce((n, s) => n + s.slots, 0);
-      if (l.keep[p] > all)
-        out.push({ path: `/lending/keep/${p}`, why: `keeps ${l.keep[p]} but servers that can ${p} have ${all} slots` });
+    if (liveRoutes.length === 0) faults.push({ path: '/lending/rules', why: 'leaves no rule for live traffic' });
+    for (const stage of ['prefill', 'decode'] as const) {
+      const slots = c.servers
+        .filter((s) => s.part === stage || s.part === 'either')
+        .reduce((n, s) => n + s.slots, 0);
+      if (lending.keep[stage] > slots)
+        faults.push({
+          path: `/lending/keep/${stage}`,
+          why: `reserves ${lending.keep[stage]} slots but the servers that can run ${stage} have only ${slots}`,
+        });
     }
-    return out;
+    return faults;
   },
 };
--- a/packages/forms/src/limits.ts
+++ b/packages/forms/src/limits.ts
@@ -1,12 +1,12 @@
 import { Type, type Static } from 'typebox';
 
-/** What a client may send, and how long it may take. */
+/** Limits on the size of client requests and on how long a client may take to send them. */
 export const Limits = Type.Object(
   {
-    header: Type.Integer({ minimum: 1, description: 'bytes' }),
-    body: Type.Integer({ minimum: 0, description: 'bytes' }),
-    headerWait: Type.Number({ minimum: 0, description: 'ms' }),
-    idle: Type.Number({ minimum: 0, description: 'ms' }),
+    header: Type.Integer({ minimum: 1, description: 'maximum size of the header in bytes' }),
+    body: Type.Integer({ minimum: 0, description: 'maximum size of the body in bytes' }),
+    headerWait: Type.Number({ minimum: 0, description: 'ms within which the header must arrive' }),
+    idle: Type.Number({ minimum: 0, description: 'ms after which an idle connection is closed' }),
   },
   { additionalProperties: false },
 );
--- a/packages/forms/src/log.ts
+++ b/packages/forms/src/log.ts
@@ -1,2 +1,2 @@
-/** Short sentences, with the part's prefix already on. */
+/** A logger of one component; the component's name is added to each line. */
 export type Log = { say(text: string): void; warn(text: string): void };
--- a/packages/forms/src/logs.ts
+++ b/packages/forms/src/logs.ts
@@ -1,29 +1,31 @@
 import winston from 'winston';
 import type { Log } from './log.js';
 
-/** Logs through winston: a time, the daemon, the part's prefix, a short sentence. */
+/** Loggers that write through winston. A line has the time, the daemon's id, the component and the message. */
 export const Logs = {
-  make(id: string, level: string): (part: string) => Log {
-    const all = winston.createLogger({
+  /** A factory of loggers by component. */
+  make(id: string, level: string): (component: string) => Log {
+    const logger = winston.createLogger({
       level,
       format: winston.format.combine(
         winston.format.timestamp(),
         winston.format.printf(
-          (i) =>
-            `${String(i['timestamp'])} ${id} ` +
-            `${i.level === 'warn' ? '! ' : ''}[${String(i['part'])}] ${String(i.message)}`,
+          (entry) =>
+            `${String(entry['timestamp'])} ${id} ` +
+            `${entry.level === 'warn' ? '! ' : ''}[${String(entry['part'])}] ${String(entry.message)}`,
         ),
       ),
       transports: [new winston.transports.Console({ stderrLevels: ['error', 'warn', 'info'] })],
     });
-    return (part) => ({
+    return (component) => ({
       say: (text) => {
-        all.info(text, { part });
+        logger.info(text, { part: component });
       },
       warn: (text) => {
-        all.warn(text, { part });
+        logger.warn(text, { part: component });
       },
     });
   },
+  /** A logger that discards everything. */
   quiet: (): Log => ({ say: () => undefined, warn: () => undefined }),
 };
--- a/packages/forms/src/loopdelay.test.ts
+++ b/packages/forms/src/loopdelay.test.ts
@@ -18,12 +18,12 @@
     await nap(120);
     block(500);
     await nap(120);
-    delay.sumUp();
+    delay.summarize();
     expect(value('event_loop_delay_max_ms')).to.be.within(400, 1500);
     expect(warnings).to.have.length(1);
     expect(warnings[0]).to.match(/stood still for \d+ ms/);
     const longest = value('event_loop_delay_max_ms');
-    delay.sumUp();
+    delay.summarize();
     expect(value('event_loop_delay_ms')).to.be.lessThan(longest);
     expect(value('event_loop_delay_max_ms')).to.equal(longest);
     delay.stop();
--- a/packages/forms/src/lot.ts
+++ b/packages/forms/src/lot.ts
@@ -1,38 +1,44 @@
 import { Hash } from './hash.js';
 
-/** The greater weight goes before, and of two alike the lesser name. */
-type Weighed = { n: string; w: number };
-const weight = (key: string, n: string): Weighed => ({ n, w: Hash.num(`${key}|${n}`) });
-const before = (a: Weighed, b: Weighed): number => b.w - a.w || (a.n < b.n ? -1 : 1);
+type Weighted = { name: string; weight: number };
+const weigh = (key: string, name: string): Weighted => ({ name, weight: Hash.num(`${key}|${name}`) });
+/** Orders by descending weight; equal weights are ordered by name. */
+const compare = (a: Weighted, b: Weighted): number => b.weight - a.weight || (a.name < b.name ? -1 : 1);
 
-/** Rendezvous: who of many holds a key. Losing one member moves only that member's keys. */
+/** Rendezvous hashing: which of many nodes owns a key. The loss of a node moves only the keys that it owned. */
 export const Lot = {
+  /** The nodes in order of their preference for the key. */
   rank<T>(key: string, list: readonly T[], name: (t: T) => string): T[] {
     return list
-      .map((t) => ({ t, ...weight(key, name(t)) }))
-      .sort(before)
+      .map((t) => ({ t, ...weigh(key, name(t)) }))
+      .sort(compare)
       .map((x) => x.t);
   },
-  /** The first few of those ranked, without ranking the rest. */
-  few<T>(key: string, list: Iterable<T>, name: (t: T) => string, many: number): T[] {
-    const best: (Weighed & { t: T })[] = [];
+  /** The first `count` nodes of `rank`, without ranking the rest. */
+  few<T>(key: string, list: Iterable<T>, name: (t: T) => string, count: number): T[] {
+    const best: (Weighted & { t: T })[] = [];
     for (const t of list) {
-      const n = name(t),
-        w = Hash.num(`${key}|${n}`),
+      const nodeName = name(t),
+        weight = Hash.num(`${key}|${nodeName}`),
         last = best.at(-1);
-      if (last && best.length >= many && (w < last.w || (w === last.w && n >= last.n))) continue;
-      best.push({ t, n, w });
-      best.sort(before);
-      if (best.length > many) best.pop();
+      if (
+        last &&
+        best.length >= count &&
+        (weight < last.weight || (weight === last.weight && nodeName >= last.name))
+      )
+        continue;
+      best.push({ t, name: nodeName, weight });
+      best.sort(compare);
+      if (best.length > count) best.pop();
     }
     return best.map((x) => x.t);
   },
-  /** The first of those ranked, without ranking the rest. */
+  /** The first node of `rank`, without ranking the rest. */
   first<T>(key: string, list: readonly T[], name: (t: T) => string): T | undefined {
-    let best: (Weighed & { t: T }) | undefined;
+    let best: (Weighted & { t: T }) | undefined;
     for (const t of list) {
-      const next = { t, ...weight(key, name(t)) };
-      if (!best || before(next, best) < 0) best = next;
+      const next = { t, ...weigh(key, name(t)) };
+      if (!best || compare(next, best) < 0) best = next;
     }
     return best?.t;
   },
--- a/packages/forms/src/machine.ts
+++ b/packages/forms/src/machine.ts
@@ -6,8 +6,9 @@
 import type { Wire } from './wire.js';
 import type { World } from './world.js';
 
-/** The world of a daemon on a real machine. */
+/** The environment of a daemon on a real machine. */
 export const Machine = {
+  /** Listens for messages at `addr`. Events of the run are logged at level `debug` only. */
   async make(
     id: string,
     addr: string,
@@ -15,15 +16,15 @@
     disk: Disk | null,
   ): Promise<World & { wire: Wire & { close(): Promise<void> } }> {
     const log = Logs.make(id, level);
-    const tale = log('deed');
+    const eventLog = log('deed');
     return {
       clock: RealClock.make(),
       chance: { real: () => Math.random() },
       wire: await TcpWire.make(addr, log('wire')),
       disk,
       log,
-      tell: (d: Omit<Deed, 'who' | 'at'>) => {
-        if (level === 'debug') tale.say(JSON.stringify(d));
+      tell: (event: Omit<Deed, 'who' | 'at'>) => {
+        if (level === 'debug') eventLog.say(JSON.stringify(event));
       },
     };
   },
--- a/packages/forms/src/mail.ts
+++ b/packages/forms/src/mail.ts
@@ -1,13 +1,15 @@
 import { Type, type Static } from 'typebox';
 import { Ident } from './ident.js';
 
-/**
- * What one daemon says to another. `to` names the identity meant, or '' when only an address is known.
- * `v` is the release's voice: neighbours differ by one at the most, and a newer one may only add keys.
- */
+/** A message from one daemon to another. */
 export const Mail = Type.Object(
   {
+    /**
+     * The protocol version of the sender. Daemons of adjacent releases may differ by one; a newer release may only add
+     * keys.
+     */
     v: Type.Integer({ minimum: 1, maximum: 1000 }),
+    /** The id of the daemon addressed, or '' if only its address is known. */
     to: Type.String({ maxLength: 60 }),
     from: Ident,
     kind: Type.String({ maxLength: 40 }),
--- a/packages/forms/src/meters.ts
+++ b/packages/forms/src/meters.ts
@@ -2,45 +2,52 @@
 
 type Labels = Readonly<Record<string, string>>;
 const PREFIX = 'pumicebarrow_';
-const SECONDS = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10];
+const BUCKETS_SECONDS = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10];
 
 /**
- * What a daemon counts, for those on call, in the usual text form. Invariants: one register a daemon, so that several
- * daemons may live in one process; a label only ever has values that this project sets, never what a caller wrote.
+ * The metrics of a daemon, in the Prometheus text format. Invariants: one registry per daemon, so that several daemons
+ * can run in one process; labels have only values that this project sets, never text that a caller sent.
  */
 export const Meters = {
   make() {
-    const register = new Registry();
-    const registers = [register];
+    const registry = new Registry();
+    const registers = [registry];
     return {
-      /** Something that happens; the name ends in `_total`. */
+      /** Registers a counter, whose name must end in `_total`; the returned function increments it. */
       count(name: string, help: string, labelNames: string[] = []): (labels?: Labels, n?: number) => void {
-        const c = new Counter({ name: `${PREFIX}${name}`, help, labelNames, registers });
-        return (labels = {}, n = 1) => c.inc(labels, n);
+        const counter = new Counter({ name: `${PREFIX}${name}`, help, labelNames, registers });
+        return (labels = {}, n = 1) => counter.inc(labels, n);
       },
-      /** How long something took, told in ms and shown in seconds; the name ends in `_seconds`. */
+      /** Registers a histogram of durations, whose name must end in `_seconds`; the returned function takes ms. */
       time(name: string, help: string, labelNames: string[] = []): (ms: number, labels?: Labels) => void {
-        const h = new Histogram({ name: `${PREFIX}${name}`, help, labelNames, buckets: SECONDS, registers });
-        return (ms, labels = {}) => h.observe(labels, ms / 1000);
+        const histogram = new Histogram({
+          name: `${PREFIX}${name}`,
+          help,
+          labelNames,
+          buckets: BUCKETS_SECONDS,
+          registers,
+        });
+        return (ms, labels = {}) => histogram.observe(labels, ms / 1000);
       },
-      /** Something that is, read when it is asked for; null where it can't be told. */
+      /** Registers a gauge that is read at each scrape; `read` gives null if the value is not known. */
       level(name: string, help: string, read: () => number | null): void {
-        const fill = (g: Gauge): void => {
-          const now = read();
-          if (now === null || !Number.isFinite(now)) g.remove();
-          else g.set(now);
+        const collect = (g: Gauge): void => {
+          const value = read();
+          if (value === null || !Number.isFinite(value)) g.remove();
+          else g.set(value);
         };
-        const g: Gauge = new Gauge({ name: `${PREFIX}${name}`, help, registers, collect: () => fill(g) });
+        const gauge: Gauge = new Gauge({ name: `${PREFIX}${name}`, help, registers, collect: () => collect(gauge) });
       },
-      /** Several levels of one name, told apart by a label. */
+      /** Registers a gauge with one label; `read` gives the value for each value of the label. */
       levels(name: string, help: string, label: string, read: () => Readonly<Record<string, number>>): void {
-        const fill = (): void => {
-          g.reset();
-          for (const [k, n] of Object.entries(read())) g.set({ [label]: k }, n);
+        const collect = (): void => {
+          gauge.reset();
+          for (const [labelValue, value] of Object.entries(read())) gauge.set({ [label]: labelValue }, value);
         };
-        const g: Gauge = new Gauge({ name: `${PREFIX}${name}`, help, labelNames: [label], registers, collect: fill });
+        const gauge: Gauge = new Gauge({ name: `${PREFIX}${name}`, help, labelNames: [label], registers, collect });
       },
-      text: (): Promise<string> => register.metrics(),
+      /** All metrics in the text format. */
+      text: (): Promise<string> => registry.metrics(),
     };
   },
 };
--- a/packages/forms/src/metricfamily.ts
+++ b/packages/forms/src/metricfamily.ts
@@ -1,4 +1,4 @@
-/** One metric with its samples: the label values and the number of each. A counter's name ends in `_total`. */
+/** One metric with its samples. The name of a counter ends in `_total`. */
 export type MetricFamily = {
   name: string;
   help: string;
--- a/packages/forms/src/note.ts
+++ b/packages/forms/src/note.ts
@@ -1,18 +1,18 @@
 import { Type, type Static } from 'typebox';
 import { Mark } from './mark.js';
 
-/**
- * A news slip: the notice that a piece of shared state has a new version.
- * `date` orders versions; `age` is elapsed monotonic ms since the slip was written, summed hop by hop.
- */
-export const Note = Type.Object(
+/** A notice, spread by gossip, that a shared record has a new version. */
+export const Notice = Type.Object(
   {
     name: Type.String({ minLength: 1, maxLength: 80 }),
+    /** The stamp of the new version, by which versions are ordered. */
     date: Mark,
+    /** Monotonic ms since the notice was written, added up hop by hop. */
     age: Type.Number({ minimum: 0 }),
+    /** The daemon that wrote the notice. */
     from: Type.String(),
     hops: Type.Integer({ minimum: 0 }),
   },
   { additionalProperties: false },
 );
-export type Note = Static<typeof Note>;
+export type Notice = Static<typeof Notice>;
--- a/packages/forms/src/ok.ts
+++ b/packages/forms/src/ok.ts
@@ -1,4 +1,4 @@
 import results from 'ts-results';
 
-/** The good half of a result. */
+/** Creates the success case of a result. */
 export const Ok = results.Ok;
--- a/packages/forms/src/post.ts
+++ b/packages/forms/src/post.ts
@@ -10,77 +10,82 @@
 import type { World } from './world.js';
 
 /**
- * Raised with each release that adds a key to any mail: 2 names the life meant in `ledger.open`, 3 keeps bursts, 4
- * names the list held, has the head add up loads, and names the chunks held of a long doc, 5 hands states on as changes
- * and tells which members of a view are complete.
+ * The version of the messages between daemons, raised with each release that adds a key to any message. Version 2 names
+ * the expected incarnation in `ledger.open`; 3 stores bursts; 4 names the server list held, lets the head add up loads,
+ * and names the chunks held of a long record; 5 hands over control state as changes and says which members of a view
+ * are complete.
  */
-const VOICE = 5;
-type Desk = { form: TSchema; fn: (body: never, from: Ident) => unknown; told: boolean };
+const PROTOCOL_VERSION = 5;
+type Handler = { schema: TSchema; fn: (body: never, from: Ident) => unknown; oneWay: boolean };
 
 /**
- * The mail room of one daemon: checks what comes in and what comes back.
- * Keys not known are faults in mail of our own voice, and are left out of mail of the next release and of replies.
+ * Sends and dispatches the messages of one daemon and validates all requests and replies. Unknown keys are an error in
+ * requests of our own or an older protocol version; they are removed from requests of the next version and from replies.
  */
 export const Post = {
   make(world: World, self: () => Ident): PostBox {
-    const desks = new Map<string, Desk>();
+    const handlers = new Map<string, Handler>();
     const log = world.log('post');
-    let shut = false;
+    let closed = false;
+    // A reply of null refuses the message.
     world.wire.hear(async (mail) => {
       const me = self();
-      if (shut) return null;
+      if (closed) return null;
       if (mail.to !== '' && mail.to !== me.id) {
-        log.warn(`Turned away ${mail.kind} meant for ${mail.to}.`);
+        log.warn(`Refused message ${mail.kind} addressed to ${mail.to}.`);
         return null;
       }
-      const desk = desks.get(mail.kind);
-      if (!desk) {
-        log.warn(`Turned away unknown ${mail.kind}.`);
+      const handler = handlers.get(mail.kind);
+      if (!handler) {
+        log.warn(`Refused message of unknown kind ${mail.kind}.`);
         return null;
       }
-      if (Math.abs(mail.v - VOICE) > 1) {
-        log.warn(`Turned away ${mail.kind} of voice ${mail.v}.`);
+      if (Math.abs(mail.v - PROTOCOL_VERSION) > 1) {
+        log.warn(`Refused message ${mail.kind} of unsupported protocol version ${mail.v}.`);
         return null;
       }
-      const body = Check.parse(desk.form, mail.v > VOICE ? Check.known(desk.form, mail.body) : mail.body);
+      const body = Check.parse(
+        handler.schema,
+        mail.v > PROTOCOL_VERSION ? Check.withoutUnknownKeys(handler.schema, mail.body) : mail.body,
+      );
       if (body.err) {
-        log.warn(`Turned away bad ${mail.kind} from ${mail.from.id}.`);
+        log.warn(`Refused invalid message ${mail.kind} from ${mail.from.id}.`);
         return null;
       }
-      const back = await desk.fn(body.val as never, mail.from);
-      return desk.told ? undefined : (back ?? null);
+      const reply = await handler.fn(body.val as never, mail.from);
+      return handler.oneWay ? undefined : (reply ?? null);
     });
     return {
-      on<S extends TSchema>(kind: string, form: S, fn: (body: NoInfer<Static<S>>, from: Ident) => unknown): void {
-        desks.set(kind, { form, fn, told: false });
+      on<S extends TSchema>(kind: string, schema: S, fn: (body: NoInfer<Static<S>>, from: Ident) => unknown): void {
+        handlers.set(kind, { schema, fn, oneWay: false });
       },
-      heed<S extends TSchema>(kind: string, form: S, fn: (body: NoInfer<Static<S>>, from: Ident) => void): void {
-        desks.set(kind, { form, fn, told: true });
+      heed<S extends TSchema>(kind: string, schema: S, fn: (body: NoInfer<Static<S>>, from: Ident) => void): void {
+        handlers.set(kind, { schema, fn, oneWay: true });
       },
       tell(addr: string, to: string, kind: string, body: unknown): void {
-        world.wire.tell(addr, { v: VOICE, to, from: self(), kind, body });
+        world.wire.tell(addr, { v: PROTOCOL_VERSION, to, from: self(), kind, body });
       },
       async ask<S extends TSchema>(
         addr: string,
         to: string,
         kind: string,
         body: unknown,
-        form: S,
+        schema: S,
         ms: number,
       ): Promise<Result<NoInfer<Static<S>>, WireFault>> {
-        const mail: Mail = { v: VOICE, to, from: self(), kind, body };
-        const back = await world.wire.ask(addr, mail, ms);
-        if (back.err) return back;
-        if (back.val === null) return Err('wrong');
-        const seen = Check.lenient(form, back.val);
-        if (seen.err) {
-          log.warn(`Bad reply to ${kind} from ${addr}.`);
+        const message: Mail = { v: PROTOCOL_VERSION, to, from: self(), kind, body };
+        const reply = await world.wire.ask(addr, message, ms);
+        if (reply.err) return reply;
+        if (reply.val === null) return Err('wrong');
+        const parsed = Check.parseLenient(schema, reply.val);
+        if (parsed.err) {
+          log.warn(`Received an invalid reply to ${kind} from ${addr}.`);
           return Err('wrong');
         }
-        return Ok(seen.val);
+        return Ok(parsed.val);
       },
       close(): void {
-        shut = true;
+        closed = true;
       },
     };
   },
--- a/packages/forms/src/postbox.ts
+++ b/packages/forms/src/postbox.ts
@@ -3,18 +3,26 @@
 import type { Result } from './result.js';
 import type { WireFault } from './wirefault.js';
 
-/** A daemon's way to hear, to ask and to tell. What is told has no reply, and may be lost. */
+/**
+ * Sends and receives the messages of one daemon: requests with a reply, and one-way messages, which may be lost. The
+ * parameter `to` is the id of the daemon addressed, or '' if only its address is known.
+ */
 export type PostBox = {
-  on<S extends TSchema>(kind: string, form: S, fn: (body: NoInfer<Static<S>>, from: Ident) => unknown): void;
-  heed<S extends TSchema>(kind: string, form: S, fn: (body: NoInfer<Static<S>>, from: Ident) => void): void;
+  /** Registers the handler of requests of a kind; what it returns is the reply. */
+  on<S extends TSchema>(kind: string, schema: S, fn: (body: NoInfer<Static<S>>, from: Ident) => unknown): void;
+  /** Registers the handler of one-way messages of a kind. */
+  heed<S extends TSchema>(kind: string, schema: S, fn: (body: NoInfer<Static<S>>, from: Ident) => void): void;
+  /** Sends a one-way message. */
   tell(addr: string, to: string, kind: string, body: unknown): void;
+  /** Sends a request and waits at most `ms` for a reply that matches the schema. */
   ask<S extends TSchema>(
     addr: string,
     to: string,
     kind: string,
     body: unknown,
-    form: S,
+    schema: S,
     ms: number,
   ): Promise<Result<NoInfer<Static<S>>, WireFault>>;
+  /** Refuses all messages from now on. */
   close(): void;
 };
--- a/packages/forms/src/program.ts
+++ b/packages/forms/src/program.ts
@@ -5,46 +5,46 @@
 
 type Flag = Parameters<typeof Flags.read>[2][number];
 
-/** How a program ends. */
+/** Starting and ending a command-line program. */
 export const Program = {
-  /** One line a fault, and exit code 2. */
+  /** Prints one line per fault and exits with code 2. */
   wrong(program: string, faults: readonly Fault[]): never {
-    for (const f of faults) process.stderr.write(`${program}: ${f.path || '/'} ${f.why}\n`);
+    for (const fault of faults) process.stderr.write(`${program}: ${fault.path || '/'} ${fault.why}\n`);
     process.exit(2);
   },
-  /** A daemon's settings from file and flags; ends the program when they are wrong, or when only help was asked for. */
+  /** Reads the settings from file and flags; exits if they are invalid or if help was requested. */
   async settings<S extends TSchema>(
     program: string,
     about: string,
-    list: readonly Flag[],
-    form: S,
+    known: readonly Flag[],
+    schema: S,
     argv: readonly string[],
   ): Promise<NoInfer<Static<S>>> {
-    const got = Flags.read(program, about, list, argv);
-    if ('say' in got) {
-      (got.code === 0 ? process.stdout : process.stderr).write(`${got.say}\n`);
-      process.exit(got.code);
+    const parsed = Flags.read(program, about, known, argv);
+    if ('say' in parsed) {
+      (parsed.code === 0 ? process.stdout : process.stderr).write(`${parsed.say}\n`);
+      process.exit(parsed.code);
     }
-    const read = await SettingsReader.read(form, got.file, got.flags);
-    return read.ok ? read.val : Program.wrong(program, read.val);
+    const settings = await SettingsReader.read(schema, parsed.file, parsed.flags);
+    return settings.ok ? settings.val : Program.wrong(program, settings.val);
   },
-  /** One line, and exit code 1. */
+  /** Prints the error and exits with code 1. */
   failed(program: string, e: unknown): never {
     process.stderr.write(`${program}: ${e instanceof Error ? e.message : String(e)}\n`);
     process.exit(1);
   },
-  /** Runs `stop` once at SIGTERM or SIGINT, then exits 0. */
+  /** Runs `stop` once at SIGTERM or SIGINT, then exits with code 0, or 1 if `stop` failed. */
   until(stop: () => Promise<void>): void {
-    let off = false;
-    const end = (): void => {
-      if (off) return;
-      off = true;
+    let stopping = false;
+    const shutDown = (): void => {
+      if (stopping) return;
+      stopping = true;
       void stop().then(
         () => process.exit(0),
         () => process.exit(1),
       );
     };
-    process.on('SIGTERM', end);
-    process.on('SIGINT', end);
+    process.on('SIGTERM', shutDown);
+    process.on('SIGINT', shutDown);
   },
 };
--- a/packages/forms/src/realclock.ts
+++ b/packages/forms/src/realclock.ts
@@ -1,14 +1,14 @@
 import type { Clock } from './clock.js';
 
-/** The machine's own time. */
+/** The clock and timers of the machine. */
 export const RealClock = {
   make(): Clock {
     return {
       mono: () => performance.now(),
       wall: () => Date.now(),
       after(ms, fn) {
-        const t = setTimeout(fn, ms);
-        return () => clearTimeout(t);
+        const timeout = setTimeout(fn, ms);
+        return () => clearTimeout(timeout);
       },
     };
   },
--- a/packages/forms/src/realfolder.ts
+++ b/packages/forms/src/realfolder.ts
@@ -2,16 +2,16 @@
 import { join } from 'node:path';
 import type { Folder } from './folder.js';
 
-const sync = async (path: string): Promise<void> => {
-  const f = await open(path, 'r');
+const fsync = async (path: string): Promise<void> => {
+  const handle = await open(path, 'r');
   try {
-    await f.sync();
+    await handle.sync();
   } finally {
-    await f.close();
+    await handle.close();
   }
 };
 
-/** A folder on a real disk. */
+/** A folder of the real file system. */
 export const RealFolder = {
   async make(dir: string): Promise<Folder> {
     await mkdir(dir, { recursive: true });
@@ -19,10 +19,10 @@
       list: () => readdir(dir),
       read: (name) => readFile(join(dir, name), 'utf8'),
       write: (name, text) => writeFile(join(dir, name), text),
-      sync: (name) => sync(join(dir, name)),
+      sync: (name) => fsync(join(dir, name)),
       rename: (from, to) => rename(join(dir, from), join(dir, to)),
       remove: (name) => rm(join(dir, name), { force: true }),
-      settle: () => sync(dir),
+      settle: () => fsync(dir),
     };
   },
 };
--- a/packages/forms/src/result.ts
+++ b/packages/forms/src/result.ts
@@ -1,4 +1,4 @@
 import type { Result as Either } from 'ts-results';
 
-/** Either a value or a named fault; never both, never neither. */
+/** Either a value or an error. */
 export type Result<T, E> = Either<T, E>;
--- a/packages/forms/src/routing.ts
+++ b/packages/forms/src/routing.ts
@@ -5,8 +5,8 @@
 import { Tenant } from './tenant.js';
 
 /**
- * The operators' intent as routes by host and path, under a revision of their own.
- * Invariant: `source` is what the operator sent, word for word; the rest is read from it and from nothing else.
+ * A configuration with routes by host and path, under a revision of its own.
+ * Invariant: `source` is exactly the document that the operator sent, and the other keys are derived from it alone.
  */
 export const Routing = Type.Object(
   {
@@ -14,7 +14,7 @@
     routes: Type.Array(Route, { maxItems: 20000 }),
     services: Type.Array(Service, { maxItems: 2000 }),
     limits: Limits,
-    tenants: Type.Optional(Type.Array(Tenant, { maxItems: 20000, description: 'left out where requests need no key' })),
+    tenants: Type.Optional(Type.Array(Tenant, { maxItems: 20000, description: 'omitted if requests need no key' })),
     source: Type.Unknown(),
   },
   { additionalProperties: false },
--- a/packages/forms/src/routingclauses.ts
+++ b/packages/forms/src/routingclauses.ts
@@ -2,30 +2,32 @@
 import type { Routing } from './routing.js';
 import { TenantClauses } from './tenantclauses.js';
 
-/** What the parts of a routing must say of each other. A host is the same in capitals. */
-export const RoutingClauses = {
+/** Validates the references between the parts of a `Routing`. Host names are compared without regard to case. */
+export const RoutingValidator = {
+  /** At most 50 faults. */
   faults(r: Routing): Fault[] {
-    const out: Fault[] = [];
+    const faults: Fault[] = [];
     const services = new Set<string>();
     r.services.forEach((s, i) => {
-      if (services.has(s.name)) out.push({ path: `/services/${i}/name`, why: `names ${s.name} again` });
+      if (services.has(s.name)) faults.push({ path: `/services/${i}/name`, why: `names ${s.name} again` });
       services.add(s.name);
     });
-    const places = new Map<string, number>();
-    r.routes.forEach((row, i) => {
-      const place = `${row.host.toLowerCase()}${row.prefix}`,
-        old = places.get(place);
-      if (old !== undefined) out.push({ path: `/routes/${i}`, why: `has the host and prefix of /routes/${old}` });
-      else places.set(place, i);
-      if (!(row.timeout > 0)) out.push({ path: `/routes/${i}/timeout`, why: 'must be above 0' });
-      row.split.forEach((part, j) => {
-        if (!services.has(part.service))
-          out.push({ path: `/routes/${i}/split/${j}/service`, why: `names the unknown service ${part.service}` });
+    const indexByPlace = new Map<string, number>();
+    r.routes.forEach((route, i) => {
+      const place = `${route.host.toLowerCase()}${route.prefix}`,
+        earlier = indexByPlace.get(place);
+      if (earlier !== undefined)
+        faults.push({ path: `/routes/${i}`, why: `has the host and prefix of /routes/${earlier}` });
+      else indexByPlace.set(place, i);
+      if (!(route.timeout > 0)) faults.push({ path: `/routes/${i}/timeout`, why: 'must be above 0' });
+      route.split.forEach((share, j) => {
+        if (!services.has(share.service))
+          faults.push({ path: `/routes/${i}/split/${j}/service`, why: `names the unknown service ${share.service}` });
       });
-      if (!(row.split.reduce((n, part) => n + part.weight, 0) > 0))
-        out.push({ path: `/routes/${i}/split`, why: 'has weights that sum to nothing' });
+      if (!(route.split.reduce((n, share) => n + share.weight, 0) > 0))
+        faults.push({ path: `/routes/${i}/split`, why: 'has weights that sum to 0' });
     });
-    out.push(...TenantClauses.faults(r.tenants ?? []));
-    return out.slice(0, 50);
+    faults.push(...TenantClauses.faults(r.tenants ?? []));
+    return faults.slice(0, 50);
   },
 };
--- a/packages/forms/src/tcplines.ts
+++ b/packages/forms/src/tcplines.ts
@@ -18,7 +18,7 @@
  * Invariant: 'unsent' is said only if no byte of the mail was written.
  */
 export const TcpLines = {
-  split,
+  splitAddress: split,
   make(log: Log): Pick<Wire, 'ask' | 'tell'> & { close(): void } {
     const peers = new Map<string, Peer>();
     let next = 1;
--- a/packages/forms/src/tcpwire.ts
+++ b/packages/forms/src/tcpwire.ts
@@ -42,7 +42,7 @@
     });
     await new Promise<void>((done, fail) => {
       server.once('error', fail);
-      server.listen({ ...TcpLines.split(addr) }, done);
+      server.listen({ ...TcpLines.splitAddress(addr) }, done);
     });
     return {
       hear(fn) {
--- a/packages/purge/src/caches.test.ts
+++ b/packages/purge/src/caches.test.ts
@@ -1,19 +1,19 @@
-import { Dice, type Clock, type Ident, type Note } from '@pumicebarrow/forms';
+import { Dice, type Clock, type Ident, type Notice } from '@pumicebarrow/forms';
 import { expect } from 'chai';
-import { IdCache } from './idcache.js';
-import { NoteCache } from './notecache.js';
+import { PeerCache } from './idcache.js';
+import { NoticeCache } from './notecache.js';
 import { Shelf } from './shelf.js';
 
 let now = 0;
 const clock: Clock = { mono: () => now, wall: () => 0, after: () => () => undefined };
 const who = (id: string, born = 'b'): Ident => ({ id, born, addr: '10.0.0.1:1', site: 's', role: 'counter' });
-const note = (name: string, v: number, age = 0): Note => ({ name, date: [v, 0], age, from: 'x', hops: 0 });
+const note = (name: string, v: number, age = 0): Notice => ({ name, date: [v, 0], age, from: 'x', hops: 0 });
 
 describe('IdCache', () => {
-  const make = (size: number) => IdCache.make(clock, Dice.seeded(1), size, () => who('me'));
+  const make = (size: number) => PeerCache.make(clock, Dice.seeded(1), size, () => who('me'));
   it('takes the oldest pointer as partner, out of the view', () => {
     const c = make(5);
-    c.take(
+    c.merge(
       [
         { who: who('a'), age: 10 },
         { who: who('b'), age: 30 },
@@ -21,7 +21,7 @@
       ],
       [],
     );
-    expect(c.oldest()?.id).to.equal('b');
+    expect(c.takeOldest()?.id).to.equal('b');
     expect(
       c
         .all()
@@ -31,7 +31,7 @@
   });
   it('drops pointers to itself and keeps one an id, the freshest', () => {
     const c = make(5);
-    c.take(
+    c.merge(
       [
         { who: who('me'), age: 0 },
         { who: who('a', 'old'), age: 9 },
@@ -43,14 +43,14 @@
   });
   it('lets what was received take the place of what was sent', () => {
     const c = make(2);
-    c.take(
+    c.merge(
       [
         { who: who('a'), age: 1 },
         { who: who('b'), age: 5 },
       ],
       [],
     );
-    c.take([{ who: who('c'), age: 3 }], [{ who: who('a'), age: 1 }]);
+    c.merge([{ who: who('c'), age: 3 }], [{ who: who('a'), age: 1 }]);
     expect(
       c
         .all()
@@ -58,29 +58,29 @@
         .sort(),
     ).to.deep.equal(['b', 'c']);
   });
-  it('leads with itself, fresh', () => expect(make(3).lead(1)).to.deep.equal([{ who: who('me'), age: 0 }]));
+  it('leads with itself, fresh', () => expect(make(3).selectForRequest(1)).to.deep.equal([{ who: who('me'), age: 0 }]));
 });
 
 describe('NoteCache', () => {
   it('keeps one a name, the newest date, and no more than its size', () => {
-    const c = NoteCache.make(clock, Dice.seeded(2), 3, 100);
+    const c = NoticeCache.make(clock, Dice.seeded(2), 3, 100);
     c.add([note('a', 2), note('a', 1), note('b', 1), note('c', 1), note('d', 1)]);
-    c.keep();
+    c.evictExcess();
     expect(c.all().length).to.equal(3);
     expect(c.evicted()).to.equal(1);
   });
   it('lets age travel as elapsed time, and counts the hops', () => {
-    const c = NoteCache.make(clock, Dice.seeded(2), 3, 100);
+    const c = NoticeCache.make(clock, Dice.seeded(2), 3, 100);
     c.add([note('a', 1, 50)]);
     now += 25;
-    expect(c.send(3)[0]).to.include({ age: 75, hops: 1 });
+    expect(c.selectToSend(3)[0]).to.include({ age: 75, hops: 1 });
   });
   it('keeps the young rather than the old', () => {
     let kept = 0;
     for (let s = 0; s < 200; s++) {
-      const c = NoteCache.make(clock, Dice.seeded(s), 1, 100);
+      const c = NoticeCache.make(clock, Dice.seeded(s), 1, 100);
       c.add([note('old', 1, 1000), note('new', 1, 100)]);
-      c.keep();
+      c.evictExcess();
       if (c.all()[0]!.name === 'new') kept++;
     }
     expect(kept).to.be.greaterThan(190);
--- a/packages/purge/src/chunks.ts
+++ b/packages/purge/src/chunks.ts
@@ -12,8 +12,8 @@
  * change moves the ends about it alone. Invariants: chunks joined are the text; equal texts are cut alike everywhere.
  */
 export const Chunks = {
-  WIDTH,
-  cut(text: string): string[] {
+  DIGEST_CHARS: WIDTH,
+  split(text: string): string[] {
     const out: string[] = [];
     let from = 0,
       hash = 0;
@@ -29,5 +29,5 @@
     return out;
   },
   /** A short digest, by which chunks are found; it proves nothing. */
-  sum: (chunk: string): string => Hash.num(chunk).toString(36).padStart(WIDTH, '0'),
+  digest: (chunk: string): string => Hash.num(chunk).toString(36).padStart(WIDTH, '0'),
 };
--- a/packages/purge/src/diary.ts
+++ b/packages/purge/src/diary.ts
@@ -1,15 +1,15 @@
-import type { Step } from './step.js';
+import type { Arrival } from './step.js';
 
 /** The last steps seen by one daemon, oldest first. Invariant: never more than `size`. */
-export const Diary = {
+export const ArrivalLog = {
   make(size: number) {
-    let list: readonly Step[] = [];
+    let list: readonly Arrival[] = [];
     return {
-      add(s: Step): void {
+      add(s: Arrival): void {
         list = [...list.slice(-(size - 1)), s];
       },
-      all: (): readonly Step[] => list,
-      of: (name: string): readonly Step[] => list.filter((s) => s.name === name),
+      entries: (): readonly Arrival[] => list,
+      entriesFor: (name: string): readonly Arrival[] => list.filter((s) => s.name === name),
     };
   },
 };
--- a/packages/purge/src/docparts.ts
+++ b/packages/purge/src/docparts.ts
@@ -13,14 +13,14 @@
  * texts told is word for word the one that was told of, or there is none.
  */
 export const DocParts = {
-  LEAST,
+  MIN_DELTA_CHARS: LEAST,
   digest: (name: string, mark: Mark, text: string): string => Hash.text(`${name} ${mark.join(' ')} ${text}`),
   /** `least` is the length of text from which on a doc is handed on by parts. */
   make(least = LEAST) {
     const known = new WeakMap<Doc, Cut | null>();
     const take = (text: string, sum: string): Cut => {
-      const chunks = Chunks.cut(text);
-      return { chunks, sums: chunks.map(Chunks.sum), length: text.length, sum };
+      const chunks = Chunks.split(text);
+      return { chunks, sums: chunks.map(Chunks.digest), length: text.length, sum };
     };
     const cut = (doc: Doc): Cut | null => {
       const old = known.get(doc);
@@ -38,8 +38,8 @@
         const own = cut(doc);
         if (!own) return null;
         const places = new Map<string, number>();
-        for (let i = 0; i * Chunks.WIDTH < held.length; i++) {
-          const sum = held.slice(i * Chunks.WIDTH, (i + 1) * Chunks.WIDTH);
+        for (let i = 0; i * Chunks.DIGEST_CHARS < held.length; i++) {
+          const sum = held.slice(i * Chunks.DIGEST_CHARS, (i + 1) * Chunks.DIGEST_CHARS);
           if (!places.has(sum)) places.set(sum, i);
         }
         const pieces: (string | [number, number])[] = [];
@@ -65,9 +65,9 @@
           sums: string[] = [];
         for (const p of part.pieces) {
           // Texts begin and end where chunks do, so cut alone they are cut as in the whole.
-          const some = typeof p === 'string' ? Chunks.cut(p) : own.chunks.slice(p[0], p[0] + p[1]);
+          const some = typeof p === 'string' ? Chunks.split(p) : own.chunks.slice(p[0], p[0] + p[1]);
           chunks.push(...some);
-          sums.push(...(typeof p === 'string' ? some.map(Chunks.sum) : own.sums.slice(p[0], p[0] + p[1])));
+          sums.push(...(typeof p === 'string' ? some.map(Chunks.digest) : own.sums.slice(p[0], p[0] + p[1])));
         }
         const text = chunks.join('');
         if (DocParts.digest(old.name, part.mark, text) !== part.sum) return null;
--- a/packages/purge/src/parts.test.ts
+++ b/packages/purge/src/parts.test.ts
@@ -3,7 +3,7 @@
 import { Type } from 'typebox';
 import type { DocPart } from './docpart.js';
 import { DocParts } from './docparts.js';
-import { Pulling } from './pulling.js';
+import { DocPuller } from './pulling.js';
 import { Shelf } from './shelf.js';
 
 type Row = [string, number, string];
@@ -124,7 +124,7 @@
     if (held) shelf.offer(held);
     return {
       shelf,
-      pulling: Pulling.make(
+      pulling: DocPuller.make(
         Post.make(world, () => ident(id)),
         shelf,
         400,
@@ -145,7 +145,7 @@
 const aged = (voice: number, held: Doc): Ear => {
   const form = Type.Object({ name: Type.String() }, { additionalProperties: false });
   return (m) => {
-    const body = Check.parse(form, m.v > voice ? Check.known(form, m.body) : m.body);
+    const body = Check.parse(form, m.v > voice ? Check.withoutUnknownKeys(form, m.body) : m.body);
     return Promise.resolve(body.ok ? { doc: body.val.name === held.name ? held : null } : null);
   };
 };
@@ -158,7 +158,7 @@
     expect(await p.pull()).to.deep.equal(after());
     expect(asked(p)).to.deep.equal(['name held']);
     expect(JSON.stringify(p.mails[0]).length).to.be.below(size(after()) / 10);
-    expect(p.me.pulling.count()).to.deep.equal({ parts: 1, again: 0 });
+    expect(p.me.pulling.counters()).to.deep.equal({ parts: 1, again: 0 });
   });
   const plain: [string, Doc | null, Doc | null][] = [
     ['a doc that is not held', null, after()],
@@ -219,7 +219,7 @@
       p.bent((b, n) => (n === 0 ? spoil(b as Back) : b));
       expect(await p.pull()).to.deep.equal(after());
       expect(asked(p)).to.deep.equal(['name held', 'name']);
-      expect(p.me.pulling.count()).to.deep.equal({ parts: 0, again: 1 });
+      expect(p.me.pulling.counters()).to.deep.equal({ parts: 0, again: 1 });
       expect(p.me.shelf.mark('list')).to.deep.equal([1, 1]);
     });
   it('whose answer is lost is not made again: the next is asked', async () => {
--- a/packages/purge/src/pulling.ts
+++ b/packages/purge/src/pulling.ts
@@ -12,7 +12,7 @@
  * never to a daemon of a release that knows no parts; where a part does not fit, or one of such a release turns the
  * asking away, the whole is asked for, once.
  */
-export const Pulling = {
+export const DocPuller = {
   make(post: PostBox, shelf: Holding, wait: number) {
     const parts = DocParts.make();
     const count = { parts: 0, again: 0 };
@@ -41,7 +41,7 @@
         const got = await ask(addr, id, { name });
         return got.ok ? got.val.doc : null;
       },
-      count: () => ({ ...count }),
+      counters: () => ({ ...count }),
     };
   },
 };
--- a/packages/purge/src/purge.ts
+++ b/packages/purge/src/purge.ts
@@ -1,13 +1,13 @@
-import { Dice, Order, Timer, type Doc, type Ident, type Note, type PostBox, type World } from '@pumicebarrow/forms';
-import { Diary } from './diary.js';
+import { Dice, Order, Timer, type Doc, type Ident, type Notice, type PostBox, type World } from '@pumicebarrow/forms';
+import { ArrivalLog } from './diary.js';
 import type { Holding } from './holding.js';
-import { IdCache } from './idcache.js';
-import { NoteCache } from './notecache.js';
-import type { Pointer } from './pointer.js';
-import { Pulling } from './pulling.js';
+import { PeerCache } from './idcache.js';
+import { NoticeCache } from './notecache.js';
+import type { PeerDescriptor } from './pointer.js';
+import { DocPuller } from './pulling.js';
 import { Ranges } from './ranges.js';
 import { Slips } from './slips.js';
-import type { Step } from './step.js';
+import type { Arrival } from './step.js';
 import type { Tunes } from './tunes.js';
 
 const REJOIN = 8;
@@ -30,15 +30,15 @@
   ) {
     const { clock, chance } = world;
     const log = world.log('purge');
-    const ids = IdCache.make(clock, chance, tunes.ids, self);
-    const notes = NoteCache.make(clock, chance, tunes.notes, tunes.round);
-    const diary = Diary.make(512);
-    const pulling = Pulling.make(post, shelf, Math.max(400, tunes.round * 2));
+    const ids = PeerCache.make(clock, chance, tunes.ids, self);
+    const notes = NoticeCache.make(clock, chance, tunes.notes, tunes.round);
+    const diary = ArrivalLog.make(512);
+    const pulling = DocPuller.make(post, shelf, Math.max(400, tunes.round * 2));
     const count = { rounds: 0, mails: 0, pulls: 0, fallbacks: 0, repairs: 0, repaired: 0, misses: 0 };
     let unlike = 0;
     let stop: () => void = () => undefined;
 
-    const enter = (doc: Doc, step: Omit<Step, 'name' | 'mark' | 'round' | 'wall'>): boolean => {
+    const enter = (doc: Doc, step: Omit<Arrival, 'name' | 'mark' | 'round' | 'wall'>): boolean => {
       if (!shelf.offer(doc)) return false;
       diary.add({ ...step, name: doc.name, mark: doc.mark, round: count.rounds, wall: clock.wall() });
       world.tell({ what: 'held', name: doc.name, mark: doc.mark, via: step.via, from: step.from, hops: step.hops });
@@ -49,7 +49,7 @@
       return pulling.pull(from.addr, from.who?.id ?? '', name);
     };
     /** Step 5: fetch from the sender; when it is gone, from others of the view. */
-    const fetch = async (note: Note, sender: Ident): Promise<boolean> => {
+    const fetch = async (note: Notice, sender: Ident): Promise<boolean> => {
       if (!Order.newer(note.date, shelf.mark(note.name))) return true;
       const step = { from: sender.id, origin: note.from, hops: note.hops, age: note.age };
       const doc = await pull({ who: sender, addr: sender.addr }, note.name);
@@ -75,15 +75,15 @@
     };
     /** Steps 5 to 7, alike for both sides. */
     const handle = async (
-      got: readonly Note[],
+      got: readonly Notice[],
       sender: Ident,
-      theirs: readonly Pointer[],
-      sent: readonly Pointer[],
+      theirs: readonly PeerDescriptor[],
+      sent: readonly PeerDescriptor[],
     ): Promise<void> => {
-      ids.take(theirs, sent);
+      ids.merge(theirs, sent);
       const good = await Promise.all(got.map((n) => fetch(n, sender)));
       notes.add(got.filter((_, i) => good[i]));
-      notes.keep();
+      notes.evictExcess();
     };
     const repair = async (who: Ident): Promise<void> => {
       count.repairs++;
@@ -96,7 +96,7 @@
         tunes.round * 4,
       );
       if (!back.ok) return;
-      const { want, give } = Ranges.sort(shelf.table(), back.val.marks, back.val.sums);
+      const { want, give } = Ranges.reconcile(shelf.table(), back.val.marks, back.val.sums);
       for (const name of want) {
         const doc = await pull({ who, addr: who.addr }, name);
         if (doc && enter(doc, { via: 'repair', from: who.id, origin: who.id, hops: 0, age: 0 })) {
@@ -108,7 +108,7 @@
         .map((name) => shelf.get(name)!)
         .map((d) => ({ name: d.name, date: d.mark, age: 0, from: self().id, hops: 0 }));
       notes.add(Dice.some(chance, mine, tunes.notes));
-      notes.keep();
+      notes.evictExcess();
     };
     const compare = async (who: Ident, sum: string): Promise<void> => {
       unlike = sum === shelf.sum() ? 0 : unlike + 1;
@@ -118,7 +118,7 @@
       }
     };
     const partner = (): Place | null => {
-      const who = ids.oldest();
+      const who = ids.takeOldest();
       if (who) return { who, addr: who.addr };
       const addr = Dice.one(
         chance,
@@ -133,15 +133,15 @@
         chance,
         known().filter((k) => !held.has(k.id) && k.id !== self().id),
       );
-      if (who) ids.take([{ who, age: 0 }], []);
+      if (who) ids.merge([{ who, age: 0 }], []);
     };
     const round = async (): Promise<void> => {
       count.rounds++;
       if (count.rounds % REJOIN === 0) rejoin();
       const to = partner();
       if (!to) return;
-      const sent = ids.lead(tunes.idLength);
-      const slips = notes.send(tunes.noteLength);
+      const sent = ids.selectForRequest(tunes.idLength);
+      const slips = notes.selectToSend(tunes.noteLength);
       count.mails++;
       const back = await post.ask(
         to.addr,
@@ -154,13 +154,13 @@
       if (!back.ok) return;
       const who = back.val.who;
       await handle(back.val.notes, who, back.val.ids, sent);
-      ids.touch(who);
+      ids.keepIfRoom(who);
       await compare(who, back.val.sum);
     };
 
     post.on('purge.news', Slips.news, (body, from) => {
-      const sent = ids.back(tunes.idLength);
-      const slips = notes.send(tunes.noteLength);
+      const sent = ids.selectForReply(tunes.idLength);
+      const slips = notes.selectToSend(tunes.noteLength);
       void handle(body.notes, from, body.ids, sent);
       return { who: self(), ids: sent, notes: slips, sum: shelf.sum() };
     });
@@ -190,16 +190,16 @@
         return true;
       },
       meet: (list: readonly Ident[]): void =>
-        ids.take(
+        ids.merge(
           list.map((who) => ({ who, age: 0 })),
           [],
         ),
-      forget: (id: string): void => ids.forget(id),
-      round,
+      removePeer: (id: string): void => ids.remove(id),
+      runRound: round,
       peers: (): readonly Ident[] => ids.all(),
-      notes: (): readonly Note[] => notes.all(),
-      diary: (name?: string): readonly Step[] => (name === undefined ? diary.all() : diary.of(name)),
-      count: () => ({ ...count, ...pulling.count(), evicted: notes.evicted() }),
+      notices: (): readonly Notice[] => notes.all(),
+      diary: (name?: string): readonly Arrival[] => (name === undefined ? diary.entries() : diary.entriesFor(name)),
+      count: () => ({ ...count, ...pulling.counters(), evicted: notes.evicted() }),
     };
   },
 };
--- a/packages/purge/src/ranges.ts
+++ b/packages/purge/src/ranges.ts
@@ -19,7 +19,7 @@
       .map((d) => ({ name: d.name, mark: d.mark }));
   },
   /** Of the other's marks, those newer than ours; and our names it lacks or holds older. */
-  sort(table: ReadonlyMap<string, Doc>, theirs: readonly { name: string; mark: Mark }[], sums: readonly string[]) {
+  reconcile(table: ReadonlyMap<string, Doc>, theirs: readonly { name: string; mark: Mark }[], sums: readonly string[]) {
     const got = new Map(theirs.map((t) => [t.name, t.mark]));
     const want = theirs.filter((t) => Order.newer(t.mark, table.get(t.name)?.mark)).map((t) => t.name);
     const give = Ranges.unlike(table, sums)
--- a/packages/purge/src/slips.ts
+++ b/packages/purge/src/slips.ts
@@ -1,13 +1,13 @@
-import { Doc, Ident, Mark, Note } from '@pumicebarrow/forms';
+import { Doc, Ident, Mark, Notice } from '@pumicebarrow/forms';
 import { Type } from 'typebox';
 import { DocPart } from './docpart.js';
-import { Pointer } from './pointer.js';
+import { PeerDescriptor } from './pointer.js';
 
 const shut = { additionalProperties: false } as const;
 const News = Type.Object(
   {
-    ids: Type.Array(Pointer, { maxItems: 64 }),
-    notes: Type.Array(Note, { maxItems: 64 }),
+    ids: Type.Array(PeerDescriptor, { maxItems: 64 }),
+    notes: Type.Array(Notice, { maxItems: 64 }),
     sum: Type.String(),
   },
   shut,
--- a/packages/purge/src/step.ts
+++ b/packages/purge/src/step.ts
@@ -1,7 +1,7 @@
 import type { Mark } from '@pumicebarrow/forms';
 
 /** One line of the tracer: how one version came to be held here. */
-export type Step = {
+export type Arrival = {
   name: string;
   mark: Mark;
   via: 'origin' | 'sender' | 'fallback' | 'repair' | 'catchup';
