--- a/packages/forms/src/check.ts
+++ b/packages/forms/src/check.ts
@@ -6,7 +6,12 @@
 import { Ok } from './ok.js';
 import type { Result } from './result.js';
 
-type SchemaError = { instancePath: string; message: string; keyword: string; params?: { requiredProperties?: string[] } };
+type SchemaError = {
+  instancePath: string;
+  message: string;
+  keyword: string;
+  params?: { requiredProperties?: string[] };
+};
 type CompiledSchema = { Check(v: unknown): boolean; Errors(v: unknown): Iterable<SchemaError> };
 const faultsOf = (error: SchemaError): Fault[] => {
   if (error.keyword === 'required')
--- a/packages/forms/src/clauses.ts
+++ b/packages/forms/src/clauses.ts
@@ -51,8 +51,7 @@
     if (c.fallback !== undefined && !c.rules.some((r) => r.name === c.fallback)) {
       faults.push({ path: '/fallback', why: `names the unknown rule ${c.fallback}` });
     }
-    const capable = (stage: string): number =>
-      c.servers.filter((s) => s.part === stage || s.part === 'either').length;
+    const capable = (stage: string): number => c.servers.filter((s) => s.part === stage || s.part === 'either').length;
     for (const stage of ['prefill', 'decode'] as const) {
       if (capable(stage) < c.casting.floor[stage])
         faults.push({
--- a/packages/forms/src/lending.ts
+++ b/packages/forms/src/lending.ts
@@ -12,7 +12,9 @@
   {
     rules: Type.Array(Type.String(), { minItems: 1, maxItems: 8, description: 'the rules whose bursts may borrow' }),
     /** The largest share of a stage's slots that may be lent. */
-    most: perStage(Type.Number({ minimum: 0, maximum: 1, description: "maximum share of a stage's slots that is lent" })),
+    most: perStage(
+      Type.Number({ minimum: 0, maximum: 1, description: "maximum share of a stage's slots that is lent" }),
+    ),
     /** The reserve of each stage. */
     keep: perStage(Type.Number({ minimum: 0, maximum: 100_000, description: 'slots that are never lent' })),
     /** The term of a loan. */
--- a/packages/forms/src/lendingclauses.ts
+++ b/packages/forms/src/lendingclauses.ts
@@ -16,7 +16,8 @@
         route = c.rules.find((r) => r.name === name);
       if (lending.rules.indexOf(name) < i) return [{ path, why: `names ${name} again` }];
       if (!route) return [{ path, why: `names the unknown rule ${name}` }];
-      if (name === c.fallback) return [{ path, why: `names ${name}, which is the fallback for requests without a rule` }];
+      if (name === c.fallback)
+        return [{ path, why: `names ${name}, which is the fallback for requests without a rule` }];
       if (route.urgency >= lowestLiveUrgency)
         return [{ path, why: `${name} is not less urgent than every rule for live traffic` }];
       if (route.pieces > MAX_ANSWER_PIECES)
@@ -25,9 +26,7 @@
     });
     if (liveRoutes.length === 0) faults.push({ path: '/lending/rules', why: 'leaves no rule for live traffic' });
     for (const stage of ['prefill', 'decode'] as const) {
-      const slots = c.servers
-        .filter((s) => s.part === stage || s.part === 'either')
-        .reduce((n, s) => n + s.slots, 0);
+      const slots = c.servers.filter((s) => s.part === stage || s.part === 'either').reduce((n, s) => n + s.slots, 0);
       if (lending.keep[stage] > slots)
         faults.push({
           path: `/lending/keep/${stage}`,
--- a/packages/forms/src/lot.ts
+++ b/packages/forms/src/lot.ts
@@ -21,11 +21,7 @@
       const nodeName = name(t),
         weight = Hash.num(`${key}|${nodeName}`),
         last = best.at(-1);
-      if (
-        last &&
-        best.length >= count &&
-        (weight < last.weight || (weight === last.weight && nodeName >= last.name))
-      )
+      if (last && best.length >= count && (weight < last.weight || (weight === last.weight && nodeName >= last.name)))
         continue;
       best.push({ t, name: nodeName, weight });
       best.sort(compare);
--- a/packages/forms/src/route.ts
+++ b/packages/forms/src/route.ts
@@ -23,7 +23,11 @@
     aim: Type.Number({ minimum: 0, description: 'target ms to the first event, for the full value of a request' }),
     gap: Type.Number({ minimum: 0, description: 'target ms between events, for the full value of a request' }),
     rank: Type.Integer({ minimum: 0, maximum: 1000, description: 'priority; 0 is served first' }),
-    tries: Type.Integer({ minimum: 1, maximum: 1000, description: 'maximum number of servers that one attempt is sent to' }),
+    tries: Type.Integer({
+      minimum: 1,
+      maximum: 1000,
+      description: 'maximum number of servers that one attempt is sent to',
+    }),
     affinity: Type.Boolean(),
     open: Type.Optional(Type.Boolean({ description: 'whether requests need no key' })),
     resumable: Type.Boolean(),
--- a/packages/forms/src/settingsreader.ts
+++ b/packages/forms/src/settingsreader.ts
@@ -6,43 +6,46 @@
 import { Ok } from './ok.js';
 import type { Result } from './result.js';
 
-/** Reads a daemon's settings from a file with flags laid over it, and checks it before any port is opened. */
+/** Reads and validates a daemon's settings before any port is opened. */
 export const SettingsReader = {
+  /** Reads the settings from a file, overridden by flags. */
   async read<S extends TSchema>(
-    form: S,
+    schema: S,
     path: string | undefined,
     flags: Record<string, unknown>,
   ): Promise<Result<NoInfer<Static<S>>, Fault[]>> {
-    let base: unknown = {};
+    let fromFile: unknown = {};
     if (path !== undefined) {
       try {
-        base = JSON.parse(await readFile(path, 'utf8'));
+        fromFile = JSON.parse(await readFile(path, 'utf8'));
       } catch (e) {
         return Err([{ path, why: `can't be read: ${e instanceof Error ? e.message : String(e)}` }]);
       }
-      if (typeof base !== 'object' || base === null || Array.isArray(base))
+      if (typeof fromFile !== 'object' || fromFile === null || Array.isArray(fromFile))
         return Err([{ path, why: 'must hold one JSON object' }]);
     }
-    const all = {
-      ...(base as object),
+    const merged = {
+      ...(fromFile as object),
       ...Object.fromEntries(Object.entries(flags).filter(([, v]) => v !== undefined)),
     };
-    const got = Check.parse(form, all);
-    if (got.err) return got;
-    const ports = SettingsReader.ports(got.val);
-    return ports.length > 0 ? Err(ports) : got;
+    const parsed = Check.parse(schema, merged);
+    if (parsed.err) return parsed;
+    const faults = SettingsReader.ports(parsed.val);
+    return faults.length > 0 ? Err(faults) : parsed;
   },
-  /** A port is a number up to 65535, an IPv4 number's parts go up to 255: more than a pattern tells. */
-  ports(v: unknown, at = ''): Fault[] {
+  /** Checks the ranges in all addresses, which a pattern cannot: ports up to 65535, parts of IPv4 addresses up to 255. */
+  ports(v: unknown, path = ''): Fault[] {
     if (typeof v === 'string' && /^(\d{1,3}(\.\d{1,3}){3}|\[.*\]):\d{1,5}$/.test(v)) {
       const port = Number(v.slice(v.lastIndexOf(':') + 1));
       const host = v.slice(0, v.lastIndexOf(':'));
-      const good = port > 0 && port < 65536 && (host.startsWith('[') || host.split('.').every((x) => Number(x) < 256));
-      return good ? [] : [{ path: at, why: 'is no IP number and port' }];
+      const valid =
+        port > 0 && port < 65536 && (host.startsWith('[') || host.split('.').every((part) => Number(part) < 256));
+      return valid ? [] : [{ path, why: 'is not a valid IP address and port' }];
     }
     if (typeof v !== 'object' || v === null) return [];
-    return Object.entries(v).flatMap(([k, x]) => SettingsReader.ports(x, `${at}/${k}`));
+    return Object.entries(v).flatMap(([key, item]) => SettingsReader.ports(item, `${path}/${key}`));
   },
+  /** Creates the data folder if needed and checks that it can be written. */
   async folder(dir: string): Promise<Result<void, Fault[]>> {
     try {
       await mkdir(dir, { recursive: true });
--- a/packages/forms/src/tcplines.ts
+++ b/packages/forms/src/tcplines.ts
@@ -7,92 +7,100 @@
 import type { Wire } from './wire.js';
 import type { WireFault } from './wirefault.js';
 
-type Peer = { sock: Socket; ready: Promise<boolean>; waits: Map<number, (r: Result<unknown, WireFault>) => void> };
-const split = (addr: string): { host: string; port: number } => {
+type Connection = {
+  sock: Socket;
+  /** Settles with whether the connection was made. */
+  ready: Promise<boolean>;
+  /** The requests that wait for a reply, by sequence number. */
+  pending: Map<number, (reply: Result<unknown, WireFault>) => void>;
+};
+const splitAddress = (addr: string): { host: string; port: number } => {
   const i = addr.lastIndexOf(':');
   return { host: addr.slice(0, i).replace(/^\[|\]$/g, ''), port: Number(addr.slice(i + 1)) };
 };
 
 /**
- * The asking half of the wire: one connection to each peer, many asks on it at once.
- * Invariant: 'unsent' is said only if no byte of the mail was written.
+ * The client side of the TCP transport: one connection to each peer, with many concurrent requests on it.
+ * Invariant: 'unsent' is returned only if no byte of the message was written.
  */
 export const TcpLines = {
-  splitAddress: split,
+  /** The host and port of an address; an IPv6 host without its brackets. */
+  splitAddress,
   make(log: Log): Pick<Wire, 'ask' | 'tell'> & { close(): void } {
-    const peers = new Map<string, Peer>();
-    let next = 1;
+    const connections = new Map<string, Connection>();
+    let nextNumber = 1;
 
-    const dial = (to: string): Peer => {
-      const old = peers.get(to);
-      if (old && !old.sock.destroyed) return old;
-      const sock = connect(split(to));
+    const connectTo = (to: string): Connection => {
+      const open = connections.get(to);
+      if (open && !open.sock.destroyed) return open;
+      const sock = connect(splitAddress(to));
       sock.setNoDelay(true);
-      const waits: Peer['waits'] = new Map();
-      const ready = new Promise<boolean>((done) => {
-        const late = setTimeout(() => {
+      const pending: Connection['pending'] = new Map();
+      const ready = new Promise<boolean>((resolve) => {
+        const connectTimeout = setTimeout(() => {
           sock.destroy();
-          done(false);
+          resolve(false);
         }, 300);
         sock.once('connect', () => {
-          clearTimeout(late);
-          done(true);
+          clearTimeout(connectTimeout);
+          resolve(true);
         });
         sock.once('close', () => {
-          clearTimeout(late);
-          done(false);
+          clearTimeout(connectTimeout);
+          resolve(false);
         });
       });
-      const peer = { sock, ready, waits };
+      const connection = { sock, ready, pending };
       sock.on('error', () => undefined);
       sock.on('close', () => {
-        if (peers.get(to) === peer) peers.delete(to);
-        for (const w of waits.values()) w(Err('lost'));
-        waits.clear();
+        if (connections.get(to) === connection) connections.delete(to);
+        for (const settle of pending.values()) settle(Err('lost'));
+        pending.clear();
       });
       Framer.read(
         sock,
-        (f) => {
-          if (!('re' in f)) return;
-          if (f.re === null && peers.get(to) === peer) peers.delete(to);
-          waits.get(f.n)?.(Ok(f.re));
-          waits.delete(f.n);
+        (frame) => {
+          if (!('re' in frame)) return;
+          // A peer that refuses a message closes the connection, so the next request must open a new one.
+          if (frame.re === null && connections.get(to) === connection) connections.delete(to);
+          pending.get(frame.n)?.(Ok(frame.re));
+          pending.delete(frame.n);
         },
         (why) => {
-          log.warn(`Closed the line to ${to}: ${why}.`);
+          log.warn(`Closed the connection to ${to}: ${why}.`);
           sock.destroy();
         },
       );
-      peers.set(to, peer);
-      return peer;
+      connections.set(to, connection);
+      return connection;
     };
     return {
       async ask(to, mail, ms) {
-        const peer = dial(to);
-        if (!(await peer.ready)) return Err('unsent');
-        if (peer.sock.destroyed) return Err('unsent');
-        const n = next++;
-        return new Promise((done) => {
-          const late = setTimeout(() => {
-            peer.waits.delete(n);
-            done(Err('lost'));
+        const connection = connectTo(to);
+        if (!(await connection.ready)) return Err('unsent');
+        if (connection.sock.destroyed) return Err('unsent');
+        const n = nextNumber++;
+        return new Promise((resolve) => {
+          const replyTimeout = setTimeout(() => {
+            connection.pending.delete(n);
+            resolve(Err('lost'));
           }, ms);
-          peer.waits.set(n, (r) => {
-            clearTimeout(late);
-            done(r);
+          connection.pending.set(n, (reply) => {
+            clearTimeout(replyTimeout);
+            resolve(reply);
           });
-          Framer.write(peer.sock, { n, mail });
+          Framer.write(connection.sock, { n, mail });
         });
       },
       tell(to, mail) {
-        const peer = dial(to);
-        const n = next++;
-        void peer.ready.then((up) => {
-          if (up) Framer.write(peer.sock, { n, mail });
+        const connection = connectTo(to);
+        const n = nextNumber++;
+        void connection.ready.then((connected) => {
+          if (connected) Framer.write(connection.sock, { n, mail });
         });
       },
       close() {
-        for (const p of peers.values()) p.sock.destroy();
+        for (const connection of connections.values()) connection.sock.destroy();
       },
     };
   },
--- a/packages/forms/src/tcpwire.ts
+++ b/packages/forms/src/tcpwire.ts
@@ -5,56 +5,57 @@
 import { TcpLines } from './tcplines.js';
 import type { Wire } from './wire.js';
 
-type Ear = (mail: Mail) => Promise<unknown>;
+type MessageHandler = (mail: Mail) => Promise<unknown>;
 
 /**
- * Mail over TCP: one connection to each peer, many asks on it at once.
- * Invariant: 'unsent' is said only if no byte of the mail was written.
+ * The message transport over TCP: one connection to each peer, with many concurrent requests on it.
+ * Invariant: 'unsent' is returned only if no byte of the message was written.
  */
 export const TcpWire = {
+  /** Listens at `addr`. Messages are refused until a handler is registered. */
   async make(addr: string, log: Log): Promise<Wire & { close(): Promise<void> }> {
-    const lines = TcpLines.make(log);
-    const open = new Set<Socket>();
-    let ear: Ear = () => Promise.resolve(null);
+    const client = TcpLines.make(log);
+    const accepted = new Set<Socket>();
+    let handler: MessageHandler = () => Promise.resolve(null);
     const server: Server = createServer((sock) => {
-      open.add(sock);
+      accepted.add(sock);
       sock.setNoDelay(true);
       sock.on('error', () => undefined);
-      sock.on('close', () => open.delete(sock));
+      sock.on('close', () => accepted.delete(sock));
       Framer.read(
         sock,
-        (f) => {
-          if (!('mail' in f)) return;
-          void ear(f.mail).then((re) => {
+        (frame) => {
+          if (!('mail' in frame)) return;
+          void handler(frame.mail).then((re) => {
             if (re === undefined) return;
-            Framer.write(sock, { n: f.n, re });
+            Framer.write(sock, { n: frame.n, re });
             if (re === null) {
-              log.warn(`Closed the line from ${f.mail.from.id}: its ${f.mail.kind} was turned away.`);
+              log.warn(`Closed the connection from ${frame.mail.from.id}: its message ${frame.mail.kind} was refused.`);
               sock.end();
             }
           });
         },
         (why) => {
-          log.warn(`Closed a line: ${why}.`);
+          log.warn(`Closed an incoming connection: ${why}.`);
           sock.destroy();
         },
       );
     });
-    await new Promise<void>((done, fail) => {
-      server.once('error', fail);
-      server.listen({ ...TcpLines.splitAddress(addr) }, done);
+    await new Promise<void>((resolve, reject) => {
+      server.once('error', reject);
+      server.listen({ ...TcpLines.splitAddress(addr) }, resolve);
     });
     return {
       hear(fn) {
-        ear = fn;
+        handler = fn;
       },
-      ask: lines.ask,
-      tell: lines.tell,
+      ask: client.ask,
+      tell: client.tell,
       async close() {
-        for (const s of open) s.destroy();
-        lines.close();
-        await new Promise<void>((done) => {
-          server.close(() => done());
+        for (const sock of accepted) sock.destroy();
+        client.close();
+        await new Promise<void>((resolve) => {
+          server.close(() => resolve());
         });
       },
     };
--- a/packages/forms/src/tenant.ts
+++ b/packages/forms/src/tenant.ts
@@ -1,14 +1,16 @@
 import { Type, type Static } from 'typebox';
 
 /**
- * Whose requests are served, and by which keys they are known. Invariants: a key is held by one tenant at the most; it
- * stands here as its digest (`KeyDigest`), never as itself.
+ * A tenant and its API keys. Invariants: a key belongs to at most one tenant; a key is stored as its digest
+ * (`KeyDigest`), never in the clear.
  */
 export const Tenant = Type.Object(
   {
-    // What servers are told in a header: visible characters, with spaces between them alone.
+    // Sent to servers in a header: printable ASCII characters, and no space at either end.
     name: Type.String({ pattern: '^[!-~]([ -~]*[!-~])?$', maxLength: 120 }),
-    rank: Type.Optional(Type.Integer({ minimum: 0, maximum: 1000, description: 'goes before the rank of the route' })),
+    rank: Type.Optional(
+      Type.Integer({ minimum: 0, maximum: 1000, description: 'priority, which overrides the rank of the route' }),
+    ),
     keys: Type.Array(Type.String({ minLength: 1, maxLength: 64 }), { maxItems: 256 }),
   },
   { additionalProperties: false },
--- a/packages/forms/src/tenantclauses.ts
+++ b/packages/forms/src/tenantclauses.ts
@@ -1,22 +1,23 @@
 import type { Fault } from './fault.js';
 import type { Tenant } from './tenant.js';
 
-/** What the tenants of a routing must say of each other: a name stands once, and a key has one holder. */
+/** Validates that the tenants of a configuration have distinct names and share no key. */
 export const TenantClauses = {
   faults(tenants: readonly Tenant[]): Fault[] {
-    const names = new Map<string, number>();
-    const holders = new Map<string, number>();
-    const out: Fault[] = [];
+    const indexByName = new Map<string, number>();
+    const indexByKey = new Map<string, number>();
+    const faults: Fault[] = [];
     tenants.forEach((tenant, i) => {
-      const same = names.get(tenant.name);
-      if (same === undefined) names.set(tenant.name, i);
-      else out.push({ path: `/tenants/${i}/name`, why: `is the name of /tenants/${same} too` });
+      const sameName = indexByName.get(tenant.name);
+      if (sameName === undefined) indexByName.set(tenant.name, i);
+      else faults.push({ path: `/tenants/${i}/name`, why: `is the name of /tenants/${sameName} too` });
       tenant.keys.forEach((key, j) => {
-        const holder = holders.get(key);
-        if (holder === undefined) holders.set(key, i);
-        else if (holder !== i) out.push({ path: `/tenants/${i}/keys/${j}`, why: `is a key of /tenants/${holder} too` });
+        const owner = indexByKey.get(key);
+        if (owner === undefined) indexByKey.set(key, i);
+        else if (owner !== i)
+          faults.push({ path: `/tenants/${i}/keys/${j}`, why: `is a key of /tenants/${owner} too` });
       });
     });
-    return out;
+    return faults;
   },
 };
--- a/packages/forms/src/timer.ts
+++ b/packages/forms/src/timer.ts
@@ -1,45 +1,46 @@
 import type { Clock } from './clock.js';
 
-/** Small tools over a clock. */
+/** Waiting, time limits and periodic tasks on a clock. */
 export const Timer = {
   nap: (clock: Clock, ms: number): Promise<void> =>
-    new Promise((done) => {
-      clock.after(ms, done);
+    new Promise((resolve) => {
+      clock.after(ms, resolve);
     }),
-  /** Settles with the value, or with `late` after ms. */
-  within<T>(clock: Clock, ms: number, job: Promise<T>, late: () => T): Promise<T> {
-    return new Promise((done, fail) => {
-      const stop = clock.after(ms, () => done(late()));
-      job.then(
-        (v) => {
-          stop();
-          done(v);
+  /** Settles like `promise`, or resolves with `onTimeout()` after `ms`. */
+  within<T>(clock: Clock, ms: number, promise: Promise<T>, onTimeout: () => T): Promise<T> {
+    return new Promise((resolve, reject) => {
+      const cancel = clock.after(ms, () => resolve(onTimeout()));
+      promise.then(
+        (value) => {
+          cancel();
+          resolve(value);
         },
         (e: unknown) => {
-          stop();
-          fail(e instanceof Error ? e : new Error(String(e)));
+          cancel();
+          reject(e instanceof Error ? e : new Error(String(e)));
         },
       );
     });
   },
-  /** Runs fn again and again, one at a time, until stopped. */
-  every: (clock: Clock, ms: number, fn: () => Promise<void> | void): (() => void) => Timer.paced(clock, () => ms, fn),
-  /** The same, with a pause that is asked for anew each time. */
-  paced(clock: Clock, ms: () => number, fn: () => Promise<void> | void): () => void {
-    let off = false;
+  /** Runs `task` repeatedly, with a pause of `ms` after each run, until the returned function is called. */
+  every: (clock: Clock, ms: number, task: () => Promise<void> | void): (() => void) =>
+    Timer.paced(clock, () => ms, task),
+  /** Like `every`, with a pause that is computed anew after each run. */
+  paced(clock: Clock, ms: () => number, task: () => Promise<void> | void): () => void {
+    let stopped = false;
     let cancel: () => void = () => undefined;
     const loop = async (): Promise<void> => {
-      while (!off) {
-        await fn();
-        if (off) return;
-        await new Promise<void>((done) => {
-          cancel = (clock.beat ?? clock.after)(ms(), done);
+      while (!stopped) {
+        await task();
+        if (stopped) return;
+        await new Promise<void>((resolve) => {
+          cancel = (clock.beat ?? clock.after)(ms(), resolve);
         });
       }
     };
     void loop();
     return () => {
-      off = true;
+      stopped = true;
       cancel();
     };
   },
--- a/packages/forms/src/verdict.ts
+++ b/packages/forms/src/verdict.ts
@@ -1,15 +1,15 @@
 import { Type, type Static } from 'typebox';
 
 /**
- * What became of a request or a command, and whether it may have run.
- * Invariant: `ran: 'no'` is said only when it has not run and never will.
+ * The outcome of a request or a command, and whether it may have been executed.
+ * Invariant: `ran: 'no'` is returned only if it was not executed and never will be.
  */
 export const Verdict = Type.Object(
   {
     ran: Type.Union([Type.Literal('no'), Type.Literal('maybe'), Type.Literal('yes')]),
     code: Type.String(),
     why: Type.String(),
-    after: Type.Optional(Type.Number({ description: 'seconds until it is worth asking again' })),
+    after: Type.Optional(Type.Number({ description: 'seconds to wait before a retry' })),
     faults: Type.Optional(Type.Array(Type.Object({ path: Type.String(), why: Type.String() }))),
   },
   { additionalProperties: false },
--- a/packages/forms/src/verdicts.ts
+++ b/packages/forms/src/verdicts.ts
@@ -1,20 +1,24 @@
 import type { Fault } from './fault.js';
 import type { Verdict } from './verdict.js';
 
-/** Makers of verdicts, so that each code is spelt in one way. */
+/** Constructors of verdicts. */
 export const Verdicts = {
+  /** Not executed and never will be; `after` is the number of seconds to wait before a retry. */
   not: (code: string, why: string, after?: number): Verdict => ({
     ran: 'no',
     code,
     why,
     ...(after === undefined ? {} : { after }),
   }),
+  /** May have been executed. */
   maybe: (code: string, why: string): Verdict => ({ ran: 'maybe', code, why }),
+  /** Executed. */
   ran: (code: string, why: string): Verdict => ({ ran: 'yes', code, why }),
+  /** Not executed because of invalid input. */
   bad: (faults: Fault[]): Verdict => ({
     ran: 'no',
     code: 'bad',
-    why: faults.map((f) => `${f.path || '/'} ${f.why}`).join('; '),
+    why: faults.map((fault) => `${fault.path || '/'} ${fault.why}`).join('; '),
     faults,
   }),
 };
--- a/packages/forms/src/webhost.ts
+++ b/packages/forms/src/webhost.ts
@@ -1,31 +1,31 @@
 import type { Polka } from 'polka';
 import type { Metering } from './metering.js';
 
-const FORM = { 'content-type': 'text/plain; version=0.0.4; charset=utf-8' };
+const METRICS_HEADERS = { 'content-type': 'text/plain; version=0.0.4; charset=utf-8' };
 
-/** What every daemon's HTTP side has. */
+/** The HTTP functions that all daemons share. */
 export const WebHost = {
-  /** Serves what the daemon counts. */
-  metrics(app: Polka, meters: Metering): void {
+  /** Serves the daemon's metrics at /metrics. */
+  metrics(app: Polka, metrics: Metering): void {
     app.get('/metrics', (_req, res) => {
-      void meters.text().then((text) => {
-        res.writeHead(200, FORM);
+      void metrics.text().then((text) => {
+        res.writeHead(200, METRICS_HEADERS);
         res.end(text);
       });
     });
   },
-  /** Listens with a polka app at IP:PORT, until it is closed with all its connections. */
+  /** Serves a polka app at IP:PORT. `close` also closes all connections. */
   async listen(app: Polka, addr: string): Promise<{ close(): Promise<void> }> {
     const i = addr.lastIndexOf(':');
-    await new Promise<void>((done, fail) => {
-      app.listen(Number(addr.slice(i + 1)), addr.slice(0, i).replace(/^\[|\]$/g, ''), () => done());
-      app.server?.once('error', fail);
+    await new Promise<void>((resolve, reject) => {
+      app.listen(Number(addr.slice(i + 1)), addr.slice(0, i).replace(/^\[|\]$/g, ''), () => resolve());
+      app.server?.once('error', reject);
     });
     const server = app.server;
     return {
       close: () =>
-        new Promise((done) => {
-          server?.close(() => done());
+        new Promise((resolve) => {
+          server?.close(() => resolve());
           server?.closeAllConnections();
         }),
     };
--- a/packages/forms/src/wirefault.ts
+++ b/packages/forms/src/wirefault.ts
@@ -1,5 +1,5 @@
 /**
- * Why no reply came. 'unsent': nothing left this daemon. 'lost': it may have been heard. 'wrong': it was heard and
- * turned away.
+ * Why a request has no valid reply. 'unsent': nothing was sent. 'lost': the peer may have received it. 'wrong': the peer
+ * refused it, or its reply was invalid.
  */
 export type WireFault = 'unsent' | 'lost' | 'wrong';
--- a/packages/purge/src/ageing.ts
+++ b/packages/purge/src/ageing.ts
@@ -1,37 +1,46 @@
 import type { Chance } from '@pumicebarrow/forms';
 
-type Weigh = (ages: readonly number[]) => number[];
+type Weighting = (ages: readonly number[]) => number[];
 
 /**
- * The source's chances by age (ch. 4.1.4). Ages are elapsed ms, never below `least`, so that no weight is endless.
- * LINEAR falls in a straight line with age; over ages 2, 4 … 20 it gives 20, 18 … 2. AGE2 is 1 / age².
+ * Weighted random choice by age, with the two weightings of the paper (section 4.1.4). Ages are elapsed ms and at least
+ * `minAge`, so that weights stay finite. LINEAR decreases linearly with age: the ages 2, 4 … 20 get the weights 20, 18 …
+ * 2. AGE2 is 1 / age².
  */
 export const AgeWeighting = {
   linear: ((ages) => {
-    const top = Math.max(...ages),
-      low = Math.min(...ages);
-    return ages.map((a) => top + low - a);
-  }) as Weigh,
-  inverseSquare: ((ages) => ages.map((a) => 1 / (a * a))) as Weigh,
-  probabilities(weigh: Weigh, ages: readonly number[]): number[] {
-    const w = weigh(ages);
-    const sum = w.reduce((a, b) => a + b, 0);
-    return w.map((x) => x / sum);
+    const max = Math.max(...ages),
+      min = Math.min(...ages);
+    return ages.map((age) => max + min - age);
+  }) as Weighting,
+  inverseSquare: ((ages) => ages.map((age) => 1 / (age * age))) as Weighting,
+  /** The weights, normalized to a sum of 1. */
+  probabilities(weighting: Weighting, ages: readonly number[]): number[] {
+    const weights = weighting(ages);
+    const sum = weights.reduce((a, b) => a + b, 0);
+    return weights.map((weight) => weight / sum);
   },
-  /** n distinct items, drawn one after another, each time by the weights of those left. */
-  sample<T>(chance: Chance, list: readonly T[], n: number, age: (t: T) => number, weigh: Weigh, least: number): T[] {
+  /** Up to n distinct items, drawn one after another, each time by the weights of the items left. */
+  sample<T>(
+    random: Chance,
+    list: readonly T[],
+    n: number,
+    ageOf: (t: T) => number,
+    weighting: Weighting,
+    minAge: number,
+  ): T[] {
     const rest = [...list];
-    const out: T[] = [];
-    while (out.length < n && rest.length > 0) {
-      const odds = AgeWeighting.probabilities(
-        weigh,
-        rest.map((t) => Math.max(least, age(t))),
+    const sample: T[] = [];
+    while (sample.length < n && rest.length > 0) {
+      const probabilities = AgeWeighting.probabilities(
+        weighting,
+        rest.map((t) => Math.max(minAge, ageOf(t))),
       );
-      let r = chance.real(),
+      let r = random.real(),
         i = 0;
-      while (i < rest.length - 1 && r >= odds[i]!) r -= odds[i++]!;
-      out.push(...rest.splice(i, 1));
+      while (i < rest.length - 1 && r >= probabilities[i]!) r -= probabilities[i++]!;
+      sample.push(...rest.splice(i, 1));
     }
-    return out;
+    return sample;
   },
 };
--- a/packages/purge/src/caches.test.ts
+++ b/packages/purge/src/caches.test.ts
@@ -58,7 +58,7 @@
         .sort(),
     ).to.deep.equal(['b', 'c']);
   });
-  it('leads with itself, fresh', () => expect(make(3).selectForRequest(1)).to.deep.equal([{ who: who('me'), age: 0 }]));
+  it('leads with itself, fresh', () => expect(make(3).requestSample(1)).to.deep.equal([{ who: who('me'), age: 0 }]));
 });
 
 describe('NoteCache', () => {
@@ -73,7 +73,7 @@
     const c = NoticeCache.make(clock, Dice.seeded(2), 3, 100);
     c.add([note('a', 1, 50)]);
     now += 25;
-    expect(c.selectToSend(3)[0]).to.include({ age: 75, hops: 1 });
+    expect(c.sampleToSend(3)[0]).to.include({ age: 75, hops: 1 });
   });
   it('keeps the young rather than the old', () => {
     let kept = 0;
--- a/packages/purge/src/chunks.ts
+++ b/packages/purge/src/chunks.ts
@@ -1,33 +1,34 @@
 import { Hash } from '@pumicebarrow/forms';
 
-/** Characters of a chunk at the least and at the most; beyond the least one place in 256 is an end. */
-const LEAST = 512;
-const MOST = 8192;
-const BITS = 8;
-const WIDTH = 7;
-const GEAR = Int32Array.from({ length: 256 }, (_, i) => Hash.num(`gear ${i}`) | 0);
+const MIN_CHUNK_CHARS = 512;
+const MAX_CHUNK_CHARS = 8192;
+/** Beyond the minimum length, one position in 2^8 = 256 is a chunk boundary. */
+const BOUNDARY_BITS = 8;
+const DIGEST_CHARS = 7;
+const GEAR_TABLE = Int32Array.from({ length: 256 }, (_, i) => Hash.num(`gear ${i}`) | 0);
 
 /**
- * A text in chunks that end where the last 32 characters say (content-defined chunking by a gear hash), so that a
- * change moves the ends about it alone. Invariants: chunks joined are the text; equal texts are cut alike everywhere.
+ * Content-defined chunking with a gear hash: whether a chunk ends at a position depends on the last 32 characters, so a
+ * change of the text moves only the boundaries near it. Invariants: the concatenated chunks are the text; equal texts
+ * are split alike on all daemons.
  */
 export const Chunks = {
-  DIGEST_CHARS: WIDTH,
+  DIGEST_CHARS,
   split(text: string): string[] {
-    const out: string[] = [];
-    let from = 0,
+    const chunks: string[] = [];
+    let start = 0,
       hash = 0;
     for (let i = 0; i < text.length; i++) {
-      hash = ((hash << 1) + GEAR[text.charCodeAt(i) & 255]!) | 0;
-      const size = i + 1 - from;
-      if (size < MOST && (size < LEAST || hash >>> (32 - BITS) !== 0)) continue;
-      out.push(text.slice(from, i + 1));
-      from = i + 1;
+      hash = ((hash << 1) + GEAR_TABLE[text.charCodeAt(i) & 255]!) | 0;
+      const size = i + 1 - start;
+      if (size < MAX_CHUNK_CHARS && (size < MIN_CHUNK_CHARS || hash >>> (32 - BOUNDARY_BITS) !== 0)) continue;
+      chunks.push(text.slice(start, i + 1));
+      start = i + 1;
       hash = 0;
     }
-    if (from < text.length) out.push(text.slice(from));
-    return out;
+    if (start < text.length) chunks.push(text.slice(start));
+    return chunks;
   },
-  /** A short digest, by which chunks are found; it proves nothing. */
-  digest: (chunk: string): string => Hash.num(chunk).toString(36).padStart(WIDTH, '0'),
+  /** A short digest by which chunks are looked up. It may collide, so the whole text needs a digest of its own. */
+  digest: (chunk: string): string => Hash.num(chunk).toString(36).padStart(DIGEST_CHARS, '0'),
 };
--- a/packages/purge/src/diary.ts
+++ b/packages/purge/src/diary.ts
@@ -1,15 +1,16 @@
 import type { Arrival } from './step.js';
 
-/** The last steps seen by one daemon, oldest first. Invariant: never more than `size`. */
+/** The latest arrivals of record versions at one daemon, oldest first. Invariant: at most `maxEntries` are kept. */
 export const ArrivalLog = {
-  make(size: number) {
-    let list: readonly Arrival[] = [];
+  make(maxEntries: number) {
+    let entries: readonly Arrival[] = [];
     return {
-      add(s: Arrival): void {
-        list = [...list.slice(-(size - 1)), s];
+      add(arrival: Arrival): void {
+        entries = [...entries.slice(-(maxEntries - 1)), arrival];
       },
-      entries: (): readonly Arrival[] => list,
-      entriesFor: (name: string): readonly Arrival[] => list.filter((s) => s.name === name),
+      all: (): readonly Arrival[] => entries,
+      /** The arrivals of one record. */
+      byName: (name: string): readonly Arrival[] => entries.filter((arrival) => arrival.name === name),
     };
   },
 };
--- a/packages/purge/src/docpart.ts
+++ b/packages/purge/src/docpart.ts
@@ -2,13 +2,15 @@
 import { Type, type Static } from 'typebox';
 
 /**
- * A version of a doc as what another version is changed by: runs of the chunks that the asker holds (from, how many),
- * and texts between them. Invariant: `sum` is of the whole, and nothing counts that does not give it.
+ * A version of a record as a delta against another version: literal texts, and runs of chunks of the version that the
+ * requester holds. Invariant: `sum` is the digest of the complete new version; a result with another digest is discarded.
  */
 export const DocPart = Type.Object(
   {
+    /** The version stamp of the new version. */
     mark: Mark,
     sum: Type.String(),
+    /** Literal texts and runs of chunks: (index of the first chunk, number of chunks). */
     pieces: Type.Array(
       Type.Union([
         Type.String(),
--- a/packages/purge/src/docparts.ts
+++ b/packages/purge/src/docparts.ts
@@ -2,77 +2,84 @@
 import { Chunks } from './chunks.js';
 import type { DocPart } from './docpart.js';
 
-/** Characters from which on a doc is handed on by parts; what is shorter goes whole, as it ever did. */
-const LEAST = 65_536;
-/** What the text of an answer may be of the whole; beyond it the whole is as good. */
-const PART = 0.5;
-type Cut = { chunks: readonly string[]; sums: readonly string[]; length: number; sum: string };
+/** Records with a shorter text are always sent whole. */
+const MIN_DELTA_CHARS = 65_536;
+/** A delta whose literal text exceeds this fraction of the record is not worth sending: the whole is sent instead. */
+const MAX_LITERAL_FRACTION = 0.5;
+type ChunkedDoc = { chunks: readonly string[]; digests: readonly string[]; length: number; sum: string };
 
 /**
- * Docs by the chunks of their text, cut once a version. Invariant: a doc that was laid together from chunks held and
- * texts told is word for word the one that was told of, or there is none.
+ * Computes and applies deltas between versions of a record, by chunks of its JSON text. Each version is split once.
+ * Invariant: applying a delta gives exactly the version that it was computed from, or null.
  */
 export const DocParts = {
-  MIN_DELTA_CHARS: LEAST,
+  MIN_DELTA_CHARS,
+  /** The digest of one version of a record. */
   digest: (name: string, mark: Mark, text: string): string => Hash.text(`${name} ${mark.join(' ')} ${text}`),
-  /** `least` is the length of text from which on a doc is handed on by parts. */
-  make(least = LEAST) {
-    const known = new WeakMap<Doc, Cut | null>();
-    const take = (text: string, sum: string): Cut => {
+  /** Records with a text shorter than `minChars` are sent whole. */
+  make(minChars = MIN_DELTA_CHARS) {
+    const cache = new WeakMap<Doc, ChunkedDoc | null>();
+    const split = (text: string, sum: string): ChunkedDoc => {
       const chunks = Chunks.split(text);
-      return { chunks, sums: chunks.map(Chunks.digest), length: text.length, sum };
+      return { chunks, digests: chunks.map(Chunks.digest), length: text.length, sum };
     };
-    const cut = (doc: Doc): Cut | null => {
-      const old = known.get(doc);
-      if (old !== undefined) return old;
+    /** The chunks of a record; null if it is short enough to be sent whole. */
+    const chunked = (doc: Doc): ChunkedDoc | null => {
+      const cached = cache.get(doc);
+      if (cached !== undefined) return cached;
       const text = JSON.stringify(doc.body) ?? '';
-      const made = text.length < least ? null : take(text, DocParts.digest(doc.name, doc.mark, text));
-      known.set(doc, made);
+      const made = text.length < minChars ? null : split(text, DocParts.digest(doc.name, doc.mark, text));
+      cache.set(doc, made);
       return made;
     };
     return {
-      /** The digests of its chunks, to be named where a newer version is asked for; null of a doc that goes whole. */
-      held: (doc: Doc | null): string | null => (doc ? (cut(doc)?.sums.join('') ?? null) : null),
-      /** What the doc has beside the chunks named; null where the whole is as good. */
+      /** The digests of a record's chunks, to be sent with a request for a newer version; null if it is sent whole. */
+      held: (doc: Doc | null): string | null => (doc ? (chunked(doc)?.digests.join('') ?? null) : null),
+      /** The delta of a record against the chunks that the requester holds; null if the whole should be sent. */
       part(doc: Doc, held: string): DocPart | null {
-        const own = cut(doc);
+        const own = chunked(doc);
         if (!own) return null;
-        const places = new Map<string, number>();
+        const indexByDigest = new Map<string, number>();
         for (let i = 0; i * Chunks.DIGEST_CHARS < held.length; i++) {
-          const sum = held.slice(i * Chunks.DIGEST_CHARS, (i + 1) * Chunks.DIGEST_CHARS);
-          if (!places.has(sum)) places.set(sum, i);
+          const digest = held.slice(i * Chunks.DIGEST_CHARS, (i + 1) * Chunks.DIGEST_CHARS);
+          if (!indexByDigest.has(digest)) indexByDigest.set(digest, i);
         }
         const pieces: (string | [number, number])[] = [];
-        let told = 0;
+        let literalChars = 0;
         own.chunks.forEach((chunk, i) => {
-          const at = places.get(own.sums[i]!);
+          const index = indexByDigest.get(own.digests[i]!);
           const last = pieces.at(-1);
-          if (at === undefined) {
-            told += chunk.length;
+          if (index === undefined) {
+            literalChars += chunk.length;
             if (typeof last === 'string') pieces[pieces.length - 1] = last + chunk;
             else pieces.push(chunk);
-          } else if (last !== undefined && typeof last !== 'string' && last[0] + last[1] === at) last[1]++;
-          else pieces.push([at, 1]);
+          } else if (last !== undefined && typeof last !== 'string' && last[0] + last[1] === index) last[1]++;
+          else pieces.push([index, 1]);
         });
-        if (told > own.length * PART) return null;
+        if (literalChars > own.length * MAX_LITERAL_FRACTION) return null;
         return { mark: doc.mark, sum: own.sum, pieces };
       },
-      /** The doc that a part makes of the one held; null where it does not give what was told of. */
-      lay(old: Doc, part: DocPart): Doc | null {
-        const own = cut(old);
+      /** The version that a delta makes of the version held; null if its digest is not that of the delta. */
+      lay(held: Doc, delta: DocPart): Doc | null {
+        const own = chunked(held);
         if (!own) return null;
         const chunks: string[] = [],
-          sums: string[] = [];
-        for (const p of part.pieces) {
-          // Texts begin and end where chunks do, so cut alone they are cut as in the whole.
-          const some = typeof p === 'string' ? Chunks.split(p) : own.chunks.slice(p[0], p[0] + p[1]);
-          chunks.push(...some);
-          sums.push(...(typeof p === 'string' ? some.map(Chunks.digest) : own.sums.slice(p[0], p[0] + p[1])));
+          digests: string[] = [];
+        for (const piece of delta.pieces) {
+          // Literal texts begin and end at chunk boundaries, so they split as they do within the whole text.
+          const added =
+            typeof piece === 'string' ? Chunks.split(piece) : own.chunks.slice(piece[0], piece[0] + piece[1]);
+          chunks.push(...added);
+          digests.push(
+            ...(typeof piece === 'string'
+              ? added.map(Chunks.digest)
+              : own.digests.slice(piece[0], piece[0] + piece[1])),
+          );
         }
         const text = chunks.join('');
-        if (DocParts.digest(old.name, part.mark, text) !== part.sum) return null;
-        const made = { name: old.name, mark: part.mark, body: JSON.parse(text) as unknown };
-        known.set(made, text.length < least ? null : { chunks, sums, length: text.length, sum: part.sum });
+        if (DocParts.digest(held.name, delta.mark, text) !== delta.sum) return null;
+        const made = { name: held.name, mark: delta.mark, body: JSON.parse(text) as unknown };
+        cache.set(made, text.length < minChars ? null : { chunks, digests, length: text.length, sum: delta.sum });
         return made;
       },
     };
--- a/packages/purge/src/holding.ts
+++ b/packages/purge/src/holding.ts
@@ -1,4 +1,4 @@
 import type { Shelf } from './shelf.js';
 
-/** A shelf, as its users see it. */
+/** The shared records that a daemon holds. */
 export type Holding = ReturnType<typeof Shelf.make>;
--- a/packages/purge/src/idcache.ts
+++ b/packages/purge/src/idcache.ts
@@ -1,56 +1,64 @@
 import { Dice, type Chance, type Clock, type Ident } from '@pumicebarrow/forms';
 import type { PeerDescriptor } from './pointer.js';
 
-type Held = { who: Ident; at: number };
+/** A peer, and the monotonic time at which its descriptor was created. */
+type Entry = { who: Ident; createdAt: number };
 
 /**
- * The CYCLON view. Invariants: no pointer to oneself; one pointer an id; never more than `size`.
+ * The partial view of the CYCLON membership protocol. Invariants: the daemon itself is not in its view; there is one
+ * descriptor per id; the view never exceeds `size`.
  */
 export const PeerCache = {
-  make(clock: Clock, chance: Chance, size: number, self: () => Ident) {
-    let held: readonly Held[] = [];
-    const wire = (h: Held): PeerDescriptor => ({ who: h.who, age: Math.max(0, clock.mono() - h.at) });
-    /** Takes what was received; what was sent makes room for it. */
-    const take = (got: readonly PeerDescriptor[], sent: readonly PeerDescriptor[]): void => {
+  make(clock: Clock, random: Chance, size: number, self: () => Ident) {
+    let view: readonly Entry[] = [];
+    const toDescriptor = (entry: Entry): PeerDescriptor => ({
+      who: entry.who,
+      age: Math.max(0, clock.mono() - entry.createdAt),
+    });
+    /** Merges the descriptors received; those that were sent are replaced first, then the oldest. */
+    const merge = (received: readonly PeerDescriptor[], sent: readonly PeerDescriptor[]): void => {
       const now = clock.mono(),
-        me = self().id;
-      const next = new Map(held.map((h) => [h.who.id, h]));
-      const fresh = new Set<string>();
-      for (const p of got) {
-        if (p.who.id === me) continue;
-        const old = next.get(p.who.id),
-          at = now - p.age;
-        if (!old || at >= old.at) {
-          next.set(p.who.id, { who: p.who, at });
-          fresh.add(p.who.id);
+        ownId = self().id;
+      const next = new Map(view.map((entry) => [entry.who.id, entry]));
+      const updated = new Set<string>();
+      for (const descriptor of received) {
+        if (descriptor.who.id === ownId) continue;
+        const known = next.get(descriptor.who.id),
+          createdAt = now - descriptor.age;
+        if (!known || createdAt >= known.createdAt) {
+          next.set(descriptor.who.id, { who: descriptor.who, createdAt });
+          updated.add(descriptor.who.id);
         }
       }
-      const spare = sent.map((p) => p.who.id).filter((id) => !fresh.has(id));
-      for (const id of spare) if (next.size > size) next.delete(id);
-      const rest = [...next.values()].sort((a, b) => a.at - b.at);
-      while (next.size > size) next.delete(rest.shift()!.who.id);
-      held = [...next.values()];
+      const replaceable = sent.map((descriptor) => descriptor.who.id).filter((id) => !updated.has(id));
+      for (const id of replaceable) if (next.size > size) next.delete(id);
+      const byAge = [...next.values()].sort((a, b) => a.createdAt - b.createdAt);
+      while (next.size > size) next.delete(byAge.shift()!.who.id);
+      view = [...next.values()];
     };
     return {
-      all: (): readonly Ident[] => held.map((h) => h.who),
-      /** The partner of the round: the oldest pointer, taken out of the view as CYCLON does. */
+      all: (): readonly Ident[] => view.map((entry) => entry.who),
+      /** The partner of this round: the peer with the oldest descriptor, which CYCLON removes from the view. */
       takeOldest(): Ident | null {
-        let best: Held | null = null;
-        for (const h of held) if (!best || h.at < best.at) best = h;
-        if (best) held = held.filter((h) => h !== best);
-        return best?.who ?? null;
+        let oldest: Entry | null = null;
+        for (const entry of view) if (!oldest || entry.createdAt < oldest.createdAt) oldest = entry;
+        if (oldest) view = view.filter((entry) => entry !== oldest);
+        return oldest?.who ?? null;
       },
-      /** What the starter of a gossip sends: itself, fresh, and g - 1 others. */
-      selectForRequest: (g: number): PeerDescriptor[] => [{ who: self(), age: 0 }, ...Dice.some(chance, held, g - 1).map(wire)],
-      /** What the partner sends back: g others. */
-      selectForReply: (g: number): PeerDescriptor[] => Dice.some(chance, held, g).map(wire),
-      merge: take,
-      /** A partner that replied is kept while there is room; in a full view CYCLON lets it go. */
+      /** The descriptors that the initiator of an exchange sends: its own, with age 0, and g - 1 others. */
+      requestSample: (g: number): PeerDescriptor[] => [
+        { who: self(), age: 0 },
+        ...Dice.some(random, view, g - 1).map(toDescriptor),
+      ],
+      /** The g descriptors that the partner sends back. */
+      replySample: (g: number): PeerDescriptor[] => Dice.some(random, view, g).map(toDescriptor),
+      merge,
+      /** Puts a partner that replied back into the view if there is room; CYCLON drops it from a full view. */
       keepIfRoom(who: Ident): void {
-        if (held.length < size) take([{ who, age: 0 }], []);
+        if (view.length < size) merge([{ who, age: 0 }], []);
       },
       remove(id: string): void {
-        held = held.filter((h) => h.who.id !== id);
+        view = view.filter((entry) => entry.who.id !== id);
       },
     };
   },
--- a/packages/purge/src/notecache.ts
+++ b/packages/purge/src/notecache.ts
@@ -1,41 +1,44 @@
 import { Order, type Chance, type Clock, type Notice } from '@pumicebarrow/forms';
 import { AgeWeighting } from './ageing.js';
 
-type Held = { note: Notice; born: number };
+/** A notice, and the monotonic time at which it was written. */
+type Entry = { notice: Notice; writtenAt: number };
 
 /**
- * The notices. Invariants: never more than `size` after a gossip; one a name, the newest date;
- * a notice is here only while its version is on this daemon's shelf.
+ * The notices that a daemon passes on. Invariants: at most `size` are left after an exchange; there is one per record,
+ * the one of the newest version; a notice is cached only while this daemon's record store holds its version.
  */
 export const NoticeCache = {
-  make(clock: Clock, chance: Chance, size: number, least: number) {
-    let held: readonly Held[] = [];
+  /** `minAge` is the lower bound on ages in the weightings. */
+  make(clock: Clock, random: Chance, size: number, minAge: number) {
+    let entries: readonly Entry[] = [];
     let evicted = 0;
-    const age = (h: Held): number => clock.mono() - h.born;
+    const age = (entry: Entry): number => clock.mono() - entry.writtenAt;
     return {
-      all: (): readonly Notice[] => held.map((h) => ({ ...h.note, age: age(h) })),
+      all: (): readonly Notice[] => entries.map((entry) => ({ ...entry.notice, age: age(entry) })),
+      /** The number of notices evicted so far. */
       evicted: (): number => evicted,
-      /** LINEAR chooses what to send. */
-      selectToSend: (g: number): Notice[] =>
-        AgeWeighting.sample(chance, held, g, age, AgeWeighting.linear, least).map((h) => ({
-          ...h.note,
-          age: age(h),
-          hops: h.note.hops + 1,
+      /** Up to g notices to send, chosen by the weighting LINEAR. */
+      sampleToSend: (g: number): Notice[] =>
+        AgeWeighting.sample(random, entries, g, age, AgeWeighting.linear, minAge).map((entry) => ({
+          ...entry.notice,
+          age: age(entry),
+          hops: entry.notice.hops + 1,
         })),
-      add(list: readonly Notice[]): void {
-        const next = new Map(held.map((h) => [h.note.name, h]));
-        for (const note of list) {
-          const old = next.get(note.name);
-          if (!old || Order.newer(note.date, old.note.date))
-            next.set(note.name, { note, born: clock.mono() - note.age });
+      add(notices: readonly Notice[]): void {
+        const next = new Map(entries.map((entry) => [entry.notice.name, entry]));
+        for (const notice of notices) {
+          const known = next.get(notice.name);
+          if (!known || Order.newer(notice.date, known.notice.date))
+            next.set(notice.name, { notice, writtenAt: clock.mono() - notice.age });
         }
-        held = [...next.values()];
+        entries = [...next.values()];
       },
-      /** AGE2 chooses what to keep. */
+      /** Reduces the cache to its size; the notices that stay are chosen by the weighting AGE2. */
       evictExcess(): void {
-        if (held.length <= size) return;
-        evicted += held.length - size;
-        held = AgeWeighting.sample(chance, held, size, age, AgeWeighting.inverseSquare, least);
+        if (entries.length <= size) return;
+        evicted += entries.length - size;
+        entries = AgeWeighting.sample(random, entries, size, age, AgeWeighting.inverseSquare, minAge);
       },
     };
   },
--- a/packages/purge/src/pointer.ts
+++ b/packages/purge/src/pointer.ts
@@ -1,6 +1,9 @@
 import { Ident } from '@pumicebarrow/forms';
 import { Type, type Static } from 'typebox';
 
-/** An identifier on the wire: who and where, and how many ms ago it was fresh. */
-export const PeerDescriptor = Type.Object({ who: Ident, age: Type.Number({ minimum: 0 }) }, { additionalProperties: false });
+/** A peer as exchanged by gossip: its identity and address, and the ms since the descriptor was created. */
+export const PeerDescriptor = Type.Object(
+  { who: Ident, age: Type.Number({ minimum: 0 }) },
+  { additionalProperties: false },
+);
 export type PeerDescriptor = Static<typeof PeerDescriptor>;
--- a/packages/purge/src/pulling.ts
+++ b/packages/purge/src/pulling.ts
@@ -4,44 +4,49 @@
 import type { Holding } from './holding.js';
 import { Slips } from './slips.js';
 
-type Pulled = Static<typeof Slips.pulled>;
+type PullReply = Static<typeof Slips.pulled>;
 
 /**
- * Versions of docs fetched from others, and handed to them. Of a long doc the puller names the chunks that it holds,
- * and is told only what the newer version has beside them. Invariants: a part goes only to who named what it holds, so
- * never to a daemon of a release that knows no parts; where a part does not fit, or one of such a release turns the
- * asking away, the whole is asked for, once.
+ * Pulls versions of records from other daemons and serves their pulls. A request for a long record names the chunks that
+ * the requester holds, and the reply may then be a delta. Invariants: a delta is sent only to a daemon that named the
+ * chunks it holds, so never to one of a release that does not know deltas; if a delta does not apply, or a daemon of
+ * such a release refuses the request, the whole record is requested, once.
  */
 export const DocPuller = {
-  make(post: PostBox, shelf: Holding, wait: number) {
-    const parts = DocParts.make();
-    const count = { parts: 0, again: 0 };
-    const ask = (addr: string, id: string, body: { name: string; held?: string }): Promise<Result<Pulled, WireFault>> =>
-      post.ask(addr, id, 'purge.pull', body, Slips.pulled, wait);
+  make(post: PostBox, recordStore: Holding, timeoutMs: number) {
+    const deltas = DocParts.make();
+    const counters = { parts: 0, again: 0 };
+    const request = (
+      addr: string,
+      id: string,
+      body: { name: string; held?: string },
+    ): Promise<Result<PullReply, WireFault>> => post.ask(addr, id, 'purge.pull', body, Slips.pulled, timeoutMs);
     post.on('purge.pull', Slips.pull, (body) => {
-      const doc = shelf.get(body.name);
-      const part = doc && body.held !== undefined ? parts.part(doc, body.held) : null;
+      const doc = recordStore.get(body.name);
+      const part = doc && body.held !== undefined ? deltas.part(doc, body.held) : null;
       return part ? { doc: null, part } : { doc };
     });
     return {
+      /** Requests the version that a daemon holds; null if it holds none or there is no valid reply. */
       async pull(addr: string, id: string, name: string): Promise<Doc | null> {
-        const old = shelf.get(name),
-          held = parts.held(old);
-        if (old && held !== null) {
-          const got = await ask(addr, id, { name, held });
-          if (got.err && got.val !== 'wrong') return null;
-          if (got.ok && !got.val.part) return got.val.doc;
-          const doc = got.ok ? parts.lay(old, got.val.part!) : null;
+        const own = recordStore.get(name),
+          held = deltas.held(own);
+        if (own && held !== null) {
+          const reply = await request(addr, id, { name, held });
+          if (reply.err && reply.val !== 'wrong') return null;
+          if (reply.ok && !reply.val.part) return reply.val.doc;
+          const doc = reply.ok ? deltas.lay(own, reply.val.part!) : null;
           if (doc) {
-            count.parts++;
+            counters.parts++;
             return doc;
           }
-          count.again++;
+          counters.again++;
         }
-        const got = await ask(addr, id, { name });
-        return got.ok ? got.val.doc : null;
+        const reply = await request(addr, id, { name });
+        return reply.ok ? reply.val.doc : null;
       },
-      counters: () => ({ ...count }),
+      /** `parts`: pulls answered by a delta; `again`: pulls repeated for the whole record. */
+      counters: () => ({ ...counters }),
     };
   },
 };
--- a/packages/purge/src/purge.ts
+++ b/packages/purge/src/purge.ts
@@ -10,196 +10,217 @@
 import type { Arrival } from './step.js';
 import type { Tunes } from './tunes.js';
 
-const REJOIN = 8;
-type Place = { who: Ident | null; addr: string };
+/** Every this many rounds a daemon known by other means is added to the peer cache. */
+const REJOIN_ROUNDS = 8;
+/** Where a record is pulled from; `who` is null if only the address is known. */
+type Source = { who: Ident | null; addr: string };
 
 /**
- * Decrepol in one daemon: one gossip a round, in the source's seven steps.
- * Invariant: a notice is passed on only by a daemon whose shelf holds that version or a newer one,
- * so a pull from the sender finds it for as long as the sender lives.
+ * The Decrepol gossip protocol in one daemon: one exchange per round, in the seven steps of the paper.
+ * Invariant: a daemon passes a notice on only while its record store holds that version or a newer one, so a pull from
+ * the sender of a notice succeeds for as long as the sender lives.
  */
 export const Purge = {
+  /** `seeds`: addresses to contact while no peer is known; `known`: daemons known by other means than gossip. */
   make(
     world: World,
     post: PostBox,
     self: () => Ident,
-    shelf: Holding,
-    tunes: Tunes,
+    recordStore: Holding,
+    settings: Tunes,
     seeds: () => readonly string[],
     known: () => readonly Ident[] = () => [],
   ) {
-    const { clock, chance } = world;
+    const { clock, chance: random } = world;
     const log = world.log('purge');
-    const ids = PeerCache.make(clock, chance, tunes.ids, self);
-    const notes = NoticeCache.make(clock, chance, tunes.notes, tunes.round);
-    const diary = ArrivalLog.make(512);
-    const pulling = DocPuller.make(post, shelf, Math.max(400, tunes.round * 2));
-    const count = { rounds: 0, mails: 0, pulls: 0, fallbacks: 0, repairs: 0, repaired: 0, misses: 0 };
-    let unlike = 0;
+    const peerCache = PeerCache.make(clock, random, settings.ids, self);
+    const noticeCache = NoticeCache.make(clock, random, settings.notes, settings.round);
+    const arrivals = ArrivalLog.make(512);
+    const puller = DocPuller.make(post, recordStore, Math.max(400, settings.round * 2));
+    const counters = { rounds: 0, mails: 0, pulls: 0, fallbacks: 0, repairs: 0, repaired: 0, misses: 0 };
+    /** Consecutive exchanges in which the partner's digest of all records differed from ours. */
+    let differingRounds = 0;
     let stop: () => void = () => undefined;
 
-    const enter = (doc: Doc, step: Omit<Arrival, 'name' | 'mark' | 'round' | 'wall'>): boolean => {
-      if (!shelf.offer(doc)) return false;
-      diary.add({ ...step, name: doc.name, mark: doc.mark, round: count.rounds, wall: clock.wall() });
-      world.tell({ what: 'held', name: doc.name, mark: doc.mark, via: step.via, from: step.from, hops: step.hops });
+    const store = (doc: Doc, arrival: Omit<Arrival, 'name' | 'mark' | 'round' | 'wall'>): boolean => {
+      if (!recordStore.offer(doc)) return false;
+      arrivals.add({ ...arrival, name: doc.name, mark: doc.mark, round: counters.rounds, wall: clock.wall() });
+      world.tell({
+        what: 'held',
+        name: doc.name,
+        mark: doc.mark,
+        via: arrival.via,
+        from: arrival.from,
+        hops: arrival.hops,
+      });
       return true;
     };
-    const pull = (from: Place, name: string): Promise<Doc | null> => {
-      count.pulls++;
-      return pulling.pull(from.addr, from.who?.id ?? '', name);
+    const pull = (source: Source, name: string): Promise<Doc | null> => {
+      counters.pulls++;
+      return puller.pull(source.addr, source.who?.id ?? '', name);
     };
-    /** Step 5: fetch from the sender; when it is gone, from others of the view. */
-    const fetch = async (note: Notice, sender: Ident): Promise<boolean> => {
-      if (!Order.newer(note.date, shelf.mark(note.name))) return true;
-      const step = { from: sender.id, origin: note.from, hops: note.hops, age: note.age };
-      const doc = await pull({ who: sender, addr: sender.addr }, note.name);
-      if (doc && !Order.newer(note.date, doc.mark)) {
-        enter(doc, { ...step, via: 'sender' });
+    /**
+     * Step 5: pulls the version from the sender of the notice or, if that fails, from up to three other peers. Returns
+     * whether the version, or a newer one, is held.
+     */
+    const fetch = async (notice: Notice, sender: Ident): Promise<boolean> => {
+      if (!Order.newer(notice.date, recordStore.mark(notice.name))) return true;
+      const arrival = { from: sender.id, origin: notice.from, hops: notice.hops, age: notice.age };
+      const doc = await pull({ who: sender, addr: sender.addr }, notice.name);
+      if (doc && !Order.newer(notice.date, doc.mark)) {
+        store(doc, { ...arrival, via: 'sender' });
         return true;
       }
-      const spare = Dice.some(
-        chance,
-        ids.all().filter((p) => p.id !== sender.id),
+      const alternatives = Dice.some(
+        random,
+        peerCache.all().filter((peer) => peer.id !== sender.id),
         3,
       );
-      for (const p of spare) {
-        count.fallbacks++;
-        const other = await pull({ who: p, addr: p.addr }, note.name);
-        if (other && !Order.newer(note.date, other.mark)) {
-          enter(other, { ...step, from: p.id, via: 'fallback' });
+      for (const peer of alternatives) {
+        counters.fallbacks++;
+        const other = await pull({ who: peer, addr: peer.addr }, notice.name);
+        if (other && !Order.newer(notice.date, other.mark)) {
+          store(other, { ...arrival, from: peer.id, via: 'fallback' });
           return true;
         }
       }
-      count.misses++;
-      return !Order.newer(note.date, shelf.mark(note.name));
+      counters.misses++;
+      return !Order.newer(notice.date, recordStore.mark(notice.name));
     };
-    /** Steps 5 to 7, alike for both sides. */
-    const handle = async (
-      got: readonly Notice[],
+    /** Steps 5 to 7, which are the same for the initiator and its partner. */
+    const processExchange = async (
+      notices: readonly Notice[],
       sender: Ident,
-      theirs: readonly PeerDescriptor[],
-      sent: readonly PeerDescriptor[],
+      receivedPeers: readonly PeerDescriptor[],
+      sentPeers: readonly PeerDescriptor[],
     ): Promise<void> => {
-      ids.merge(theirs, sent);
-      const good = await Promise.all(got.map((n) => fetch(n, sender)));
-      notes.add(got.filter((_, i) => good[i]));
-      notes.evictExcess();
+      peerCache.merge(receivedPeers, sentPeers);
+      const fetched = await Promise.all(notices.map((notice) => fetch(notice, sender)));
+      noticeCache.add(notices.filter((_, i) => fetched[i]));
+      noticeCache.evictExcess();
     };
+    /** Compares range digests with a peer, pulls what is newer there, and caches notices of what is newer here. */
     const repair = async (who: Ident): Promise<void> => {
-      count.repairs++;
-      const back = await post.ask(
+      counters.repairs++;
+      const reply = await post.ask(
         who.addr,
         who.id,
         'purge.sums',
-        { sums: Ranges.sums(shelf.table()) },
+        { sums: Ranges.sums(recordStore.table()) },
         Slips.marks,
-        tunes.round * 4,
+        settings.round * 4,
       );
-      if (!back.ok) return;
-      const { want, give } = Ranges.reconcile(shelf.table(), back.val.marks, back.val.sums);
+      if (!reply.ok) return;
+      const { want, give } = Ranges.reconcile(recordStore.table(), reply.val.marks, reply.val.sums);
       for (const name of want) {
         const doc = await pull({ who, addr: who.addr }, name);
-        if (doc && enter(doc, { via: 'repair', from: who.id, origin: who.id, hops: 0, age: 0 })) {
-          count.repaired++;
-          notes.add([{ name, date: doc.mark, age: 0, from: who.id, hops: 0 }]);
+        if (doc && store(doc, { via: 'repair', from: who.id, origin: who.id, hops: 0, age: 0 })) {
+          counters.repaired++;
+          noticeCache.add([{ name, date: doc.mark, age: 0, from: who.id, hops: 0 }]);
         }
       }
-      const mine = give
-        .map((name) => shelf.get(name)!)
+      const newerHere = give
+        .map((name) => recordStore.get(name)!)
         .map((d) => ({ name: d.name, date: d.mark, age: 0, from: self().id, hops: 0 }));
-      notes.add(Dice.some(chance, mine, tunes.notes));
-      notes.evictExcess();
+      noticeCache.add(Dice.some(random, newerHere, settings.notes));
+      noticeCache.evictExcess();
     };
-    const compare = async (who: Ident, sum: string): Promise<void> => {
-      unlike = sum === shelf.sum() ? 0 : unlike + 1;
-      if (tunes.unlike > 0 && unlike >= tunes.unlike) {
-        unlike = 0;
+    /** Starts a repair once the digests have differed in the configured number of consecutive exchanges. */
+    const compareDigest = async (who: Ident, sum: string): Promise<void> => {
+      differingRounds = sum === recordStore.sum() ? 0 : differingRounds + 1;
+      if (settings.unlike > 0 && differingRounds >= settings.unlike) {
+        differingRounds = 0;
         await repair(who);
       }
     };
-    const partner = (): Place | null => {
-      const who = ids.takeOldest();
+    /** The partner of the next exchange: the oldest peer of the cache, otherwise a random seed. */
+    const nextPartner = (): Source | null => {
+      const who = peerCache.takeOldest();
       if (who) return { who, addr: who.addr };
       const addr = Dice.one(
-        chance,
+        random,
         seeds().filter((a) => a !== self().addr),
       );
       return addr ? { who: null, addr } : null;
     };
-    /** Now and then one that is known by other means but not in the view is let in, as an introducer would. */
+    /** Adds a daemon that is known by other means but is not in the peer cache, as an introducer would. */
     const rejoin = (): void => {
-      const held = new Set(ids.all().map((p) => p.id));
+      const cached = new Set(peerCache.all().map((peer) => peer.id));
       const who = Dice.one(
-        chance,
-        known().filter((k) => !held.has(k.id) && k.id !== self().id),
+        random,
+        known().filter((daemon) => !cached.has(daemon.id) && daemon.id !== self().id),
       );
-      if (who) ids.merge([{ who, age: 0 }], []);
+      if (who) peerCache.merge([{ who, age: 0 }], []);
     };
-    const round = async (): Promise<void> => {
-      count.rounds++;
-      if (count.rounds % REJOIN === 0) rejoin();
-      const to = partner();
-      if (!to) return;
-      const sent = ids.selectForRequest(tunes.idLength);
-      const slips = notes.selectToSend(tunes.noteLength);
-      count.mails++;
-      const back = await post.ask(
-        to.addr,
-        to.who?.id ?? '',
+    const runRound = async (): Promise<void> => {
+      counters.rounds++;
+      if (counters.rounds % REJOIN_ROUNDS === 0) rejoin();
+      const partner = nextPartner();
+      if (!partner) return;
+      const sentPeers = peerCache.requestSample(settings.idLength);
+      const notices = noticeCache.sampleToSend(settings.noteLength);
+      counters.mails++;
+      const reply = await post.ask(
+        partner.addr,
+        partner.who?.id ?? '',
         'purge.news',
-        { ids: sent, notes: slips, sum: shelf.sum() },
+        { ids: sentPeers, notes: notices, sum: recordStore.sum() },
         Slips.reply,
-        tunes.round * 4,
+        settings.round * 4,
       );
-      if (!back.ok) return;
-      const who = back.val.who;
-      await handle(back.val.notes, who, back.val.ids, sent);
-      ids.keepIfRoom(who);
-      await compare(who, back.val.sum);
+      if (!reply.ok) return;
+      const who = reply.val.who;
+      await processExchange(reply.val.notes, who, reply.val.ids, sentPeers);
+      peerCache.keepIfRoom(who);
+      await compareDigest(who, reply.val.sum);
     };
 
     post.on('purge.news', Slips.news, (body, from) => {
-      const sent = ids.selectForReply(tunes.idLength);
-      const slips = notes.selectToSend(tunes.noteLength);
-      void handle(body.notes, from, body.ids, sent);
-      return { who: self(), ids: sent, notes: slips, sum: shelf.sum() };
+      const sentPeers = peerCache.replySample(settings.idLength);
+      const notices = noticeCache.sampleToSend(settings.noteLength);
+      void processExchange(body.notes, from, body.ids, sentPeers);
+      return { who: self(), ids: sentPeers, notes: notices, sum: recordStore.sum() };
     });
     post.on('purge.sums', Slips.sums, (body) => ({
-      marks: Ranges.unlike(shelf.table(), body.sums),
-      sums: Ranges.sums(shelf.table()),
+      marks: Ranges.unlike(recordStore.table(), body.sums),
+      sums: Ranges.sums(recordStore.table()),
     }));
 
     return {
       start(): void {
-        log.say('Gossip begins.');
-        stop = Timer.every(clock, tunes.round, round);
+        log.say('Gossip started.');
+        stop = Timer.every(clock, settings.round, runRound);
       },
       stop(): void {
         stop();
       },
-      /** A version made here: held first, then told. */
+      /** Publishes a version created by this daemon: it is stored first, then its notice is spread. */
       publish(doc: Doc): boolean {
-        if (!enter(doc, { via: 'origin', from: self().id, origin: self().id, hops: 0, age: 0 })) return false;
-        notes.add([{ name: doc.name, date: doc.mark, age: 0, from: self().id, hops: 0 }]);
+        if (!store(doc, { via: 'origin', from: self().id, origin: self().id, hops: 0, age: 0 })) return false;
+        noticeCache.add([{ name: doc.name, date: doc.mark, age: 0, from: self().id, hops: 0 }]);
         return true;
       },
-      /** A version learnt outside a gossip, after a start, a freeze or a long silence. */
+      /** Takes a version learnt by other means than gossip, as after a start, a suspension or a long silence. */
       learn(doc: Doc, from: string): boolean {
-        if (!enter(doc, { via: 'catchup', from, origin: from, hops: 0, age: 0 })) return false;
-        notes.add([{ name: doc.name, date: doc.mark, age: 0, from, hops: 0 }]);
+        if (!store(doc, { via: 'catchup', from, origin: from, hops: 0, age: 0 })) return false;
+        noticeCache.add([{ name: doc.name, date: doc.mark, age: 0, from, hops: 0 }]);
         return true;
       },
-      meet: (list: readonly Ident[]): void =>
-        ids.merge(
-          list.map((who) => ({ who, age: 0 })),
+      /** Adds daemons to the peer cache. */
+      meet: (daemons: readonly Ident[]): void =>
+        peerCache.merge(
+          daemons.map((who) => ({ who, age: 0 })),
           [],
         ),
-      removePeer: (id: string): void => ids.remove(id),
-      runRound: round,
-      peers: (): readonly Ident[] => ids.all(),
-      notices: (): readonly Notice[] => notes.all(),
-      diary: (name?: string): readonly Arrival[] => (name === undefined ? diary.entries() : diary.entriesFor(name)),
-      count: () => ({ ...count, ...pulling.counters(), evicted: notes.evicted() }),
+      removePeer: (id: string): void => peerCache.remove(id),
+      /** Runs one exchange now. */
+      runRound,
+      peers: (): readonly Ident[] => peerCache.all(),
+      notices: (): readonly Notice[] => noticeCache.all(),
+      /** The latest arrivals, of all records or of one. */
+      diary: (name?: string): readonly Arrival[] => (name === undefined ? arrivals.all() : arrivals.byName(name)),
+      /** Totals since the start, by metric label. */
+      count: () => ({ ...counters, ...puller.counters(), evicted: noticeCache.evicted() }),
     };
   },
 };
--- a/packages/purge/src/purging.ts
+++ b/packages/purge/src/purging.ts
@@ -1,4 +1,4 @@
 import type { Purge } from './purge.js';
 
-/** A running purge, as its daemon sees it. */
+/** The gossip protocol running in one daemon. */
 export type Purging = ReturnType<typeof Purge.make>;
--- a/packages/purge/src/ranges.ts
+++ b/packages/purge/src/ranges.ts
@@ -1,30 +1,37 @@
 import { Hash, Order, type Doc, type Mark } from '@pumicebarrow/forms';
 
-const COUNT = 8;
-const slot = (name: string): number => Hash.num(name) % COUNT;
+const RANGE_COUNT = 8;
+const rangeOf = (name: string): number => Hash.num(name) % RANGE_COUNT;
 
-/** Digests over ranges of names, so that two shelves can be compared without being sent. */
+/** Digests over ranges of record names, by which two record stores are compared without sending their content. */
 export const Ranges = {
-  count: COUNT,
-  sums(table: ReadonlyMap<string, Doc>): string[] {
-    const rows: string[][] = Array.from({ length: COUNT }, () => []);
-    for (const d of table.values()) rows[slot(d.name)]!.push(`${d.name} ${d.mark.join(' ')}`);
-    return rows.map((r) => Hash.text(r.sort().join('\n')));
+  count: RANGE_COUNT,
+  /** The digest of each range. */
+  sums(records: ReadonlyMap<string, Doc>): string[] {
+    const ranges: string[][] = Array.from({ length: RANGE_COUNT }, () => []);
+    for (const doc of records.values()) ranges[rangeOf(doc.name)]!.push(`${doc.name} ${doc.mark.join(' ')}`);
+    return ranges.map((range) => Hash.text(range.sort().join('\n')));
   },
-  /** What is held in the ranges where the other's digest is unlike ours. */
-  unlike(table: ReadonlyMap<string, Doc>, sums: readonly string[]): { name: string; mark: Mark }[] {
-    const mine = Ranges.sums(table);
-    return [...table.values()]
-      .filter((d) => mine[slot(d.name)] !== sums[slot(d.name)])
-      .map((d) => ({ name: d.name, mark: d.mark }));
+  /** Our records in the ranges whose digest differs from the peer's. */
+  unlike(records: ReadonlyMap<string, Doc>, peerDigests: readonly string[]): { name: string; mark: Mark }[] {
+    const digests = Ranges.sums(records);
+    return [...records.values()]
+      .filter((doc) => digests[rangeOf(doc.name)] !== peerDigests[rangeOf(doc.name)])
+      .map((doc) => ({ name: doc.name, mark: doc.mark }));
   },
-  /** Of the other's marks, those newer than ours; and our names it lacks or holds older. */
-  reconcile(table: ReadonlyMap<string, Doc>, theirs: readonly { name: string; mark: Mark }[], sums: readonly string[]) {
-    const got = new Map(theirs.map((t) => [t.name, t.mark]));
-    const want = theirs.filter((t) => Order.newer(t.mark, table.get(t.name)?.mark)).map((t) => t.name);
-    const give = Ranges.unlike(table, sums)
-      .filter((m) => Order.newer(m.mark, got.get(m.name)))
-      .map((m) => m.name);
+  /** `want`: the peer's records that are newer than ours; `give`: our records that the peer lacks or holds older. */
+  reconcile(
+    records: ReadonlyMap<string, Doc>,
+    peerRecords: readonly { name: string; mark: Mark }[],
+    peerDigests: readonly string[],
+  ) {
+    const peerStamps = new Map(peerRecords.map((record) => [record.name, record.mark]));
+    const want = peerRecords
+      .filter((record) => Order.newer(record.mark, records.get(record.name)?.mark))
+      .map((record) => record.name);
+    const give = Ranges.unlike(records, peerDigests)
+      .filter((record) => Order.newer(record.mark, peerStamps.get(record.name)))
+      .map((record) => record.name);
     return { want, give };
   },
 };
--- a/packages/purge/src/shelf.ts
+++ b/packages/purge/src/shelf.ts
@@ -1,35 +1,38 @@
 import { Hash, Order, type Doc, type Mark } from '@pumicebarrow/forms';
 
-type Table = ReadonlyMap<string, Doc>;
-type Ear = (doc: Doc, old: Doc | null) => void;
+type Records = ReadonlyMap<string, Doc>;
+type Listener = (doc: Doc, old: Doc | null) => void;
 
 /**
- * The copies a daemon holds. Invariants: the table is never changed, only swapped whole;
- * for each name the mark only rises, for as long as the daemon lives.
+ * The shared records that a daemon holds, in memory. Invariants: the map of records is never modified, only replaced;
+ * the version stamp of a record only rises for as long as the daemon lives.
  */
 export const Shelf = {
-  make(sound: (doc: Doc) => boolean) {
-    let table: Table = new Map();
-    let sum = Hash.text('');
-    const ears: Ear[] = [];
+  make(isValid: (doc: Doc) => boolean) {
+    let records: Records = new Map();
+    let digest = Hash.text('');
+    const listeners: Listener[] = [];
     return {
-      table: (): Table => table,
-      get: (name: string): Doc | null => table.get(name) ?? null,
-      mark: (name: string): Mark | null => table.get(name)?.mark ?? null,
-      sum: (): string => sum,
-      heed(fn: Ear): void {
-        ears.push(fn);
+      table: (): Records => records,
+      get: (name: string): Doc | null => records.get(name) ?? null,
+      /** The version stamp of a record; null if it is not held. */
+      mark: (name: string): Mark | null => records.get(name)?.mark ?? null,
+      /** A digest of the names and version stamps of all records. */
+      sum: (): string => digest,
+      /** Registers a listener that is called with each new version and the version before it. */
+      heed(fn: Listener): void {
+        listeners.push(fn);
       },
-      /** Takes the version if it is newer than the one held and sound. */
+      /** Stores the version if it is valid and newer than the one held. Returns whether it was stored. */
       offer(doc: Doc): boolean {
-        const old = table.get(doc.name) ?? null;
+        const old = records.get(doc.name) ?? null;
         if (old && !Order.newer(doc.mark, old.mark)) return false;
-        if (!sound(doc)) return false;
-        const next = new Map(table);
+        if (!isValid(doc)) return false;
+        const next = new Map(records);
         next.set(doc.name, Object.freeze(doc));
-        table = next;
-        sum = Hash.of([...next.values()].map((d) => [d.name, ...d.mark].join(' ')).sort());
-        for (const fn of ears) fn(doc, old);
+        records = next;
+        digest = Hash.of([...next.values()].map((d) => [d.name, ...d.mark].join(' ')).sort());
+        for (const fn of listeners) fn(doc, old);
         return true;
       },
     };
--- a/packages/purge/src/slips.ts
+++ b/packages/purge/src/slips.ts
@@ -3,31 +3,44 @@
 import { DocPart } from './docpart.js';
 import { PeerDescriptor } from './pointer.js';
 
-const shut = { additionalProperties: false } as const;
-const News = Type.Object(
+const closed = { additionalProperties: false } as const;
+const GossipRequest = Type.Object(
   {
+    /** Descriptors of peers. */
     ids: Type.Array(PeerDescriptor, { maxItems: 64 }),
     notes: Type.Array(Notice, { maxItems: 64 }),
+    /** The digest of all records of the sender. */
     sum: Type.String(),
   },
-  shut,
+  closed,
 );
 
-/** The forms of what purge says. */
+/** The schemas of the messages of the gossip protocol. */
 export const Slips = {
-  news: News,
+  /** The request of a gossip exchange. */
+  news: GossipRequest,
+  /** The reply of a gossip exchange. */
   reply: Type.Object(
-    { who: Ident, ids: News.properties.ids, notes: News.properties.notes, sum: News.properties.sum },
-    shut,
+    {
+      who: Ident,
+      ids: GossipRequest.properties.ids,
+      notes: GossipRequest.properties.notes,
+      sum: GossipRequest.properties.sum,
+    },
+    closed,
   ),
-  pull: Type.Object({ name: Type.String(), held: Type.Optional(Type.String()) }, shut),
-  pulled: Type.Object({ doc: Type.Union([Doc, Type.Null()]), part: Type.Optional(DocPart) }, shut),
-  sums: Type.Object({ sums: Type.Array(Type.String(), { minItems: 8, maxItems: 8 }) }, shut),
+  /** A request for a record; `held` has the digests of the chunks that the requester holds. */
+  pull: Type.Object({ name: Type.String(), held: Type.Optional(Type.String()) }, closed),
+  /** The reply to a pull: the whole record, or a delta. */
+  pulled: Type.Object({ doc: Type.Union([Doc, Type.Null()]), part: Type.Optional(DocPart) }, closed),
+  /** A request to compare record stores, with the digest of each range. */
+  sums: Type.Object({ sums: Type.Array(Type.String(), { minItems: 8, maxItems: 8 }) }, closed),
+  /** The reply to `sums`: the version stamps in the ranges that differ, and the digests of all ranges. */
   marks: Type.Object(
     {
-      marks: Type.Array(Type.Object({ name: Type.String(), mark: Mark }, shut)),
+      marks: Type.Array(Type.Object({ name: Type.String(), mark: Mark }, closed)),
       sums: Type.Array(Type.String(), { minItems: 8, maxItems: 8 }),
     },
-    shut,
+    closed,
   ),
 };
--- a/packages/purge/src/step.ts
+++ b/packages/purge/src/step.ts
@@ -1,14 +1,20 @@
 import type { Mark } from '@pumicebarrow/forms';
 
-/** One line of the tracer: how one version came to be held here. */
+/** A line of the trace: how one version of a record arrived at this daemon. */
 export type Arrival = {
   name: string;
   mark: Mark;
+  /** 'sender': pulled from the sender of the notice; 'fallback': from another peer; 'catchup': learnt without gossip. */
   via: 'origin' | 'sender' | 'fallback' | 'repair' | 'catchup';
+  /** The daemon, or the other source, that the version came from. */
   from: string;
+  /** The daemon that wrote the notice; otherwise the same as `from`. */
   origin: string;
   hops: number;
+  /** Age of the notice in ms; 0 if the version did not come with a notice. */
   age: number;
+  /** The gossip round in which it arrived. */
   round: number;
+  /** The wall-clock time of its arrival. */
   wall: number;
 };
--- a/packages/purge/src/tuned.ts
+++ b/packages/purge/src/tuned.ts
@@ -1,4 +1,4 @@
 import type { Tunes } from './tunes.js';
 
-/** The values purge starts with. */
+/** The default parameters of the gossip protocol. */
 export const Tuned: Tunes = { ids: 10, notes: 5, idLength: 1, noteLength: 3, round: 150, unlike: 3 };
