--- a/packages/forms/src/awake.test.ts
+++ b/packages/forms/src/awake.test.ts
@@ -3,7 +3,7 @@
 
 const cases: [string, [number, number][], number][] = [
   [
-    'ordinary beats',
+    'regular checks',
     [
       [100, 100],
       [100, 100],
@@ -12,7 +12,7 @@
     0,
   ],
   [
-    'a frozen process',
+    'a frozen process, seen on both clocks',
     [
       [100, 100],
       [3000, 3000],
@@ -21,7 +21,7 @@
     1,
   ],
   [
-    'a paused machine',
+    'a paused machine, seen on the wall clock only',
     [
       [100, 100],
       [5, 4500],
@@ -30,7 +30,7 @@
     1,
   ],
   [
-    'a wall clock set forward',
+    'a forward jump of the wall clock',
     [
       [100, 3_600_000],
       [100, 100],
@@ -38,7 +38,7 @@
     1,
   ],
   [
-    'a wall clock set back',
+    'a backward jump of the wall clock',
     [
       [100, -3_600_000],
       [100, 100],
@@ -46,7 +46,7 @@
     0,
   ],
   [
-    'two sleeps',
+    'two suspensions',
     [
       [2000, 2000],
       [100, 100],
@@ -56,21 +56,21 @@
   ],
 ];
 
-describe('Awake', () => {
+describe('SuspendDetector', () => {
   for (const [name, steps, want] of cases) {
-    it(`counts ${want} for ${name}`, () => {
+    it(`detects ${want} for ${name}`, () => {
       let mono = 0,
         wall = 1e12,
-        woke = 0;
-      const a = Awake.make({ mono: () => mono, wall: () => wall, after: () => () => undefined }, () => {
-        woke++;
+        resumptions = 0;
+      const detector = Awake.make({ mono: () => mono, wall: () => wall, after: () => () => undefined }, () => {
+        resumptions++;
       });
-      for (const [m, w] of steps) {
-        mono += m;
-        wall += w;
-        a.look();
+      for (const [monoStep, wallStep] of steps) {
+        mono += monoStep;
+        wall += wallStep;
+        detector.look();
       }
-      expect(woke).to.equal(want);
+      expect(resumptions).to.equal(want);
     });
   }
 });
--- a/packages/forms/src/beatclock.test.ts
+++ b/packages/forms/src/beatclock.test.ts
@@ -3,42 +3,42 @@
 import type { Clock } from './clock.js';
 import { Timer } from './timer.js';
 
-/** What a router does again and again, in ms: gossip, check-in, loads, list, sleep, settings. */
-const DUTIES = [200, 450, 320, 600, 250, 1000];
-const SPAN = 10_000;
+/** Periods of a router's recurring tasks: gossip, check-in, loads, server list, suspension check, settings. */
+const TASK_PERIODS_MS = [200, 450, 320, 600, 250, 1000];
+const SPAN_MS = 10_000;
 
-/** Runs the duties for SPAN ms from an odd moment on; gives the instants at which the process had to wake. */
-const wakes = async (of: (clock: Clock) => Clock): Promise<{ at: number[]; runs: number[] }> => {
+/** Runs the tasks for SPAN_MS from an arbitrary start; returns the instants of wake-ups and the runs of each task. */
+const simulate = async (wrap: (clock: Clock) => Clock): Promise<{ at: number[]; runs: number[] }> => {
   let now = 13.7;
   const due = new Map<() => void, number>();
-  const clock = of({
+  const clock = wrap({
     mono: () => now,
     wall: () => now,
     after(ms, fn) {
-      const one = (): void => fn();
-      due.set(one, now + ms);
-      return () => void due.delete(one);
+      const timer = (): void => fn();
+      due.set(timer, now + ms);
+      return () => void due.delete(timer);
     },
   });
-  const runs = DUTIES.map(() => 0);
+  const runs = TASK_PERIODS_MS.map(() => 0);
   const stops: (() => void)[] = [];
-  const settle = async (): Promise<void> => {
+  const runPending = async (): Promise<void> => {
     for (let i = 0; i < 20; i++) await Promise.resolve();
   };
-  for (const [i, ms] of DUTIES.entries()) {
+  for (const [i, ms] of TASK_PERIODS_MS.entries()) {
     now += 7.3;
     stops.push(Timer.every(clock, ms, () => void runs[i]!++));
-    await settle();
+    await runPending();
   }
   const at: number[] = [];
   for (;;) {
-    await settle();
+    await runPending();
     const next = Math.min(...due.values());
-    if (next > SPAN) break;
+    if (next > SPAN_MS) break;
     now = next;
     at.push(now);
-    for (const [fn, t] of [...due])
-      if (t <= now) {
+    for (const [fn, dueAt] of [...due])
+      if (dueAt <= now) {
         due.delete(fn);
         fn();
       }
@@ -47,17 +47,17 @@
   return { at, runs };
 };
 
-describe('A clock with common beats', () => {
-  it('wakes an idle daemon no more than ten times a second, where each duty by itself wakes it oftener', async () => {
-    const apart = await wakes((c) => c);
-    const together = await wakes((c) => BeatClock.make(c, 100));
-    expect(apart.at.length).to.be.above(150);
-    // The ms to which a timer is rounded up may part two that are due at one beat.
-    const beats = new Set(together.at.map((t) => Math.round(t / 10)));
-    expect(beats.size).to.be.at.most(100);
+describe('CoalescingClock', () => {
+  it('wakes an idle daemon at most ten times per second, fewer than its tasks would without it', async () => {
+    const separate = await simulate((c) => c);
+    const coalesced = await simulate((c) => BeatClock.make(c, 100));
+    expect(separate.at.length).to.be.above(150);
+    // Rounding up to whole ms may separate two timers that are due at the same grid point.
+    const gridPoints = new Set(coalesced.at.map((t) => Math.round(t / 10)));
+    expect(gridPoints.size).to.be.at.most(100);
   });
-  it('runs each duty about as often as it was to run', async () => {
-    const { runs } = await wakes((c) => BeatClock.make(c, 100));
-    DUTIES.forEach((ms, i) => expect(runs[i]).to.be.within((SPAN / ms) * 0.8, (SPAN / ms) * 1.25 + 1));
+  it('runs each task about as often as its period requires', async () => {
+    const { runs } = await simulate((c) => BeatClock.make(c, 100));
+    TASK_PERIODS_MS.forEach((ms, i) => expect(runs[i]).to.be.within((SPAN_MS / ms) * 0.8, (SPAN_MS / ms) * 1.25 + 1));
   });
 });
--- a/packages/forms/src/clauses.test.ts
+++ b/packages/forms/src/clauses.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import { Clauses } from './clauses.js';
 
-const good = () => ({
+const validConfiguration = () => ({
   sites: ['s1', 's2'],
   rules: [{ name: 'verdict', weight: 1, urgency: 9, limit: 5, waitlist: 5, deadline: 2000, pieces: 2, bytes: 1000 }],
   fallback: 'verdict',
@@ -11,11 +11,11 @@
   ],
   casting: { prefill: 1, floor: { prefill: 1, decode: 1 }, swing: true, calm: 5000 },
 });
-type Draft = ReturnType<typeof good> & Record<string, unknown>;
+type Draft = ReturnType<typeof validConfiguration> & Record<string, unknown>;
 const cases: [string, (c: Draft) => void, string[]][] = [
-  ['a sound charter', () => undefined, []],
+  ['a valid configuration', () => undefined, []],
   [
-    'a key not known',
+    'an unknown key',
     (c) => {
       c['colour'] = 'red';
     },
@@ -29,42 +29,42 @@
     ['/rules/0/limit'],
   ],
   [
-    'an unknown zone at a server',
+    'a server in an unknown zone',
     (c) => {
       c.servers[1]!.site = 's9';
     },
     ['/servers/1/site'],
   ],
   [
-    'an unknown zone in a rule',
+    'a route in an unknown zone',
     (c) => {
       (c.rules[0] as Record<string, unknown>)['sites'] = ['s1', 's9'];
     },
     ['/rules/0/sites/1'],
   ],
   [
-    'an unknown rule as fallback',
+    'a fallback that is not a route',
     (c) => {
       c.fallback = 'none';
     },
     ['/fallback'],
   ],
   [
-    'a server named twice',
+    'two servers with the same id',
     (c) => {
       c.servers[1]!.id = 'm1';
     },
     ['/servers/1/id'],
   ],
   [
-    'a part left with no server',
+    'a stage that no server can run',
     (c) => {
       c.servers[0]!.part = 'decode';
     },
     ['/casting/floor/prefill'],
   ],
   [
-    'a cast that starves decode',
+    'an initial assignment that leaves decode below its floor',
     (c) => {
       c.casting.prefill = 2;
     },
@@ -80,13 +80,13 @@
   ],
 ];
 
-describe('Clauses', () => {
+describe('ConfigurationValidator, for a fleet', () => {
   for (const [name, change, paths] of cases) {
-    it(`names the faults of ${name}`, () => {
-      const c = good() as Draft;
+    it(`reports the paths of the faults in ${name}`, () => {
+      const c = validConfiguration() as Draft;
       change(c);
-      const got = Clauses.read(c);
-      expect(got.ok ? [] : got.val.map((f) => f.path)).to.deep.equal(paths);
+      const parsed = Clauses.read(c);
+      expect(parsed.ok ? [] : parsed.val.map((f) => f.path)).to.deep.equal(paths);
     });
   }
 });
--- a/packages/forms/src/knownred.test.ts
+++ b/packages/forms/src/knownred.test.ts
@@ -4,17 +4,22 @@
 import { availableParallelism, tmpdir } from 'node:os';
 import { join, resolve } from 'node:path';
 
+/** A test file with a test that passes and a test that fails. */
 const SPEC = "describe('a', () => { it('good', () => {}); it('bad', () => { throw new Error('x'); }); });";
-const bad = (body: string): string => SPEC.replace("throw new Error('x');", body);
-/** Only the process that finds the tests has no one to send to. */
-const more = (where: 'found' | 'run', title: string): string =>
+/** The same file with another body of the test `bad`. */
+const withBadTest = (body: string): string => SPEC.replace("throw new Error('x');", body);
+/**
+ * The same file with one more test, either only in the process that finds the tests or only in those that run them. The
+ * finding process has no parent process to send to.
+ */
+const withExtraTest = (where: 'found' | 'run', title: string): string =>
   SPEC.replace("it('good'", `if (${where === 'run' ? '' : '!'}process.send) it('${title}', () => {}); it('good'`);
 const cases: [string, string, string | readonly string[], number, string, string][] = [
   ['an unlisted test that fails', '# none\n', SPEC, 1, 'fails and is not listed: a bad', '1 passed, 1 failed'],
   ['a listed test that fails', '# one\na bad\n', SPEC, 0, 'known red: a bad', '1 passed, 1 failed'],
   ['a listed test that passes', 'a bad\na good\n', SPEC, 1, 'is listed and passes: a good', '1 passed, 1 failed'],
   [
-    'a listed test that is not there',
+    'a listed test that does not exist',
     'a bad\na gone\n',
     SPEC,
     1,
@@ -38,59 +43,73 @@
     '0 passed, 2 failed',
   ],
   ['no tests', '', '', 1, 'no test ran', '0 passed, 0 failed'],
-  ['tests that all pass', '', bad(''), 0, 'a bad', '2 passed, 0 failed'],
+  ['tests that all pass', '', withBadTest(''), 0, 'a bad', '2 passed, 0 failed'],
   [
-    'a process that ends in a test',
+    'a process that exits during a test',
     '',
-    bad('process.exit(0);'),
+    withBadTest('process.exit(0);'),
     1,
     '0 before its end, in: a bad',
     '1 passed, 1 failed',
   ],
   [
-    'a process that is killed in a test',
+    'a process that is killed during a test',
     '',
-    bad("process.kill(process.pid, 'SIGKILL'); for (;;);"),
+    withBadTest("process.kill(process.pid, 'SIGKILL'); for (;;);"),
     1,
     'SIGKILL before its end, in: a bad',
     '1 passed, 1 failed',
   ],
   [
-    'a process that ends in a listed test',
+    'a process that exits during a listed test',
     'a bad\n',
-    bad('process.exit(1);'),
+    withBadTest('process.exit(1);'),
     1,
     'is listed and did not run: a bad',
     '1 passed, 1 failed',
   ],
-  ['a test that is lost', 'a bad\n', more('found', 'lost'), 1, 'did not run: a lost', '1 passed, 2 failed'],
+  [
+    'a test that was found but never reported',
+    'a bad\n',
+    withExtraTest('found', 'lost'),
+    1,
+    'did not run: a lost',
+    '1 passed, 2 failed',
+  ],
   [
     'a test that is reported twice',
     'a bad\n',
-    more('run', 'good'),
+    withExtraTest('run', 'good'),
     1,
     'was reported 2 times: a good',
     '1 passed, 1 failed',
   ],
-  ['two files with one test', 'a bad\n', [SPEC, bad('')], 1, 'is there 2 times: a bad', '1 passed, 1 failed'],
   [
-    'tests of two files',
+    'two files with a test of the same title',
+    'a bad\n',
+    [SPEC, withBadTest('')],
+    1,
+    'is there 2 times: a bad',
+    '1 passed, 1 failed',
+  ],
+  [
+    'two files with tests of different titles',
     'a bad\n',
-    [SPEC, bad('').replaceAll("'a'", "'b'")],
+    [SPEC, withBadTest('').replaceAll("'a'", "'b'")],
     0,
     'known red: a bad',
     '3 passed, 1 failed',
   ],
 ];
-type Got = { code: number; out: string; err: string };
-const run = (args: readonly string[], more: { cwd?: string; env?: NodeJS.ProcessEnv } = {}): Promise<Got> =>
-  new Promise((done) => {
-    execFile(process.execPath, args, more, (e, out, err) => done({ code: e ? Number(e.code) : 0, out, err }));
+type RunResult = { code: number; out: string; err: string };
+const run = (args: readonly string[], options: { cwd?: string; env?: NodeJS.ProcessEnv } = {}): Promise<RunResult> =>
+  new Promise((resolveRun) => {
+    execFile(process.execPath, args, options, (e, out, err) => resolveRun({ code: e ? Number(e.code) : 0, out, err }));
   });
 
-describe('The list of tests known to fail', () => {
-  for (const [name, list, specs, code, says, close] of cases) {
-    it(`with ${name} gives ${code}`, async () => {
+describe('The test runner with a list of known failures', () => {
+  for (const [name, list, specs, code, message, totals] of cases) {
+    it(`given ${name}, exits with ${code}`, async () => {
       const dir = await mkdtemp(join(tmpdir(), 'knownred-'));
       const files: string[] = [];
       await writeFile(join(dir, 'list.txt'), list);
@@ -98,55 +117,61 @@
         files.push(join(dir, `spec${files.length}.cjs`));
         await writeFile(files.at(-1)!, text);
       }
-      const got = await run(['tools/knownred.mjs', join(dir, 'list.txt'), ...files]);
-      expect(got.out + got.err).to.include(says);
-      expect(got.out.endsWith(`\n${close}\n`), got.out).to.equal(true);
-      expect(got.code).to.equal(code);
+      const result = await run(['tools/knownred.mjs', join(dir, 'list.txt'), ...files]);
+      expect(result.out + result.err).to.include(message);
+      expect(result.out.endsWith(`\n${totals}\n`), result.out).to.equal(true);
+      expect(result.code).to.equal(code);
       await rm(dir, { recursive: true });
     });
   }
 
-  it('finds the tests by the patterns of .mocharc.json, where none are named', async () => {
+  it('finds the tests by the patterns of .mocharc.json if no files are given', async () => {
     const dir = await mkdtemp(join(tmpdir(), 'knownred-'));
     await writeFile(join(dir, '.mocharc.json'), '{ "spec": ["*.spec.cjs"] }');
     await writeFile(join(dir, 'list.txt'), 'a bad\n');
     await writeFile(join(dir, 'one.spec.cjs'), SPEC);
-    const got = await run([resolve('tools/knownred.mjs'), 'list.txt'], { cwd: dir });
-    expect(got.out).to.include('known red: a bad');
-    expect(got.code).to.equal(0);
+    const result = await run([resolve('tools/knownred.mjs'), 'list.txt'], { cwd: dir });
+    expect(result.out).to.include('known red: a bad');
+    expect(result.code).to.equal(0);
     await rm(dir, { recursive: true });
   });
 });
 
-describe('A command beside the tests', () => {
+describe('The test runner with a command run beside the tests', () => {
   for (const code of [0, 3]) {
-    it(`that ends with ${code} gives ${code === 0 ? 0 : 1}`, async () => {
+    it(`given a command that exits with ${code}, exits with ${code === 0 ? 0 : 1}`, async () => {
       const dir = await mkdtemp(join(tmpdir(), 'knownred-'));
       await writeFile(join(dir, 'list.txt'), 'a bad\n');
       await writeFile(join(dir, 'spec.cjs'), SPEC);
       const command = `echo said; exit ${code}`;
-      const got = await run(['tools/knownred.mjs', '--beside', command, join(dir, 'list.txt'), join(dir, 'spec.cjs')]);
-      expect(got.out).to.include(`said\n${command}: ${code}\n`);
-      expect(got.out.endsWith('\n1 passed, 1 failed\n'), got.out).to.equal(true);
-      expect(got.code).to.equal(code === 0 ? 0 : 1);
+      const result = await run([
+        'tools/knownred.mjs',
+        '--beside',
+        command,
+        join(dir, 'list.txt'),
+        join(dir, 'spec.cjs'),
+      ]);
+      expect(result.out).to.include(`said\n${command}: ${code}\n`);
+      expect(result.out.endsWith('\n1 passed, 1 failed\n'), result.out).to.equal(true);
+      expect(result.code).to.equal(code === 0 ? 0 : 1);
       await rm(dir, { recursive: true });
     });
   }
 });
 
-describe('The processes that run tests', () => {
-  const most = Math.min(8, availableParallelism());
+describe('The number of test processes', () => {
+  const maxProcesses = Math.min(8, availableParallelism());
   const counts: [string, string, number][] = [
-    ['none asked for', '', most],
-    ['one asked for', '1', 1],
-    ['very many asked for', '500', most],
-    ['no number', 'many', most],
+    ['no number requested', '', maxProcesses],
+    ['one requested', '1', 1],
+    ['very many requested', '500', maxProcesses],
+    ['a request that is not a number', 'many', maxProcesses],
   ];
-  for (const [name, asked, count] of counts) {
-    it(`are at least one and no more than there are cores, with ${name}`, async () => {
+  for (const [name, requested, count] of counts) {
+    it(`is at least one and at most the number of cores, with ${name}`, async () => {
       const script = "import('./tools/tests/cores.mjs').then((m) => console.log(m.Cores.count()))";
-      const got = await run(['-e', script], { env: { ...process.env, PUMICEBARROW_WORKERS: asked } });
-      expect(Number(got.out)).to.be.within(1, count);
+      const result = await run(['-e', script], { env: { ...process.env, PUMICEBARROW_WORKERS: requested } });
+      expect(Number(result.out)).to.be.within(1, count);
     });
   }
 });
--- a/packages/forms/src/lendingclauses.test.ts
+++ b/packages/forms/src/lendingclauses.test.ts
@@ -1,12 +1,12 @@
 import { expect } from 'chai';
 import { Clauses } from './clauses.js';
 
-const rule = (name: string, urgency: number, pieces = 8) => ({
+const route = (name: string, urgency: number, pieces = 8) => ({
   ...{ name, urgency, pieces, weight: 1, limit: 5, waitlist: 5, deadline: 2000, bytes: 1000 },
 });
-const good = () => ({
+const validConfiguration = () => ({
   sites: ['s1'],
-  rules: [rule('verdict', 9), rule('review', 2), rule('rollout', 0)],
+  rules: [route('verdict', 9), route('review', 2), route('rollout', 0)],
   fallback: 'verdict',
   servers: ['m1', 'm2'].map((id) => ({ id, site: 's1', part: 'either', slots: 4 })),
   casting: { prefill: 1, floor: { prefill: 1, decode: 1 }, swing: true, calm: 5000 },
@@ -17,27 +17,27 @@
     length: 2000,
   },
 });
-type Draft = ReturnType<typeof good>;
+type Draft = ReturnType<typeof validConfiguration>;
 const cases: [string, (c: Draft) => void, string[]][] = [
-  ['a sound clause', () => undefined, []],
-  ['a rule not known', (c) => c.lending.rules.push('other'), ['/lending/rules/1']],
-  ['a rule named twice', (c) => c.lending.rules.push('rollout'), ['/lending/rules/1']],
-  ['the fallback', (c) => (c.fallback = 'rollout'), ['/lending/rules/0']],
-  ['a rule as urgent as live work', (c) => (c.rules[2]!.urgency = 2), ['/lending/rules/0']],
-  ['a rule with long answers', (c) => (c.rules[2]!.pieces = 257), ['/lending/rules/0']],
-  ['no rule left for live work', (c) => (c.rules = [c.rules[2]!]), ['/fallback', '/lending/rules']],
-  ['more kept than there is', (c) => (c.lending.keep.decode = 9), ['/lending/keep/decode']],
-  ['a loan longer than the quiet time', (c) => (c.lending.length = 2501), ['/lending/length']],
-  ['a share above all', (c) => (c.lending.most.prefill = 1.1), ['/lending/most/prefill']],
+  ['a valid section', () => undefined, []],
+  ['an unknown route', (c) => c.lending.rules.push('other'), ['/lending/rules/1']],
+  ['a route named twice', (c) => c.lending.rules.push('rollout'), ['/lending/rules/1']],
+  ['the fallback as a borrower', (c) => (c.fallback = 'rollout'), ['/lending/rules/0']],
+  ['a borrower as urgent as live traffic', (c) => (c.rules[2]!.urgency = 2), ['/lending/rules/0']],
+  ['a borrower with long answers', (c) => (c.rules[2]!.pieces = 257), ['/lending/rules/0']],
+  ['no route left for live traffic', (c) => (c.rules = [c.rules[2]!]), ['/fallback', '/lending/rules']],
+  ['a reserve of more slots than there are', (c) => (c.lending.keep.decode = 9), ['/lending/keep/decode']],
+  ['a loan longer than the waiting period of a new holder', (c) => (c.lending.length = 2501), ['/lending/length']],
+  ['a share above 1', (c) => (c.lending.most.prefill = 1.1), ['/lending/most/prefill']],
 ];
 
-describe('The clause of lending', () => {
+describe('LendingValidator', () => {
   for (const [name, change, paths] of cases) {
-    it(`has its faults named: ${name}`, () => {
-      const c = good();
+    it(`reports the paths of the faults in ${name}`, () => {
+      const c = validConfiguration();
       change(c);
-      const got = Clauses.read(c);
-      expect(got.ok ? [] : got.val.map((f) => f.path)).to.deep.equal(paths);
+      const parsed = Clauses.read(c);
+      expect(parsed.ok ? [] : parsed.val.map((f) => f.path)).to.deep.equal(paths);
     });
   }
 });
--- a/packages/forms/src/loopdelay.test.ts
+++ b/packages/forms/src/loopdelay.test.ts
@@ -3,21 +3,21 @@
 import { LoopDelay } from './loopdelay.js';
 import { RealClock } from './realclock.js';
 
-const nap = (ms: number): Promise<void> => new Promise((done) => setTimeout(done, ms));
-const block = (ms: number): void => {
+const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
+const blockLoop = (ms: number): void => {
   const until = performance.now() + ms;
   while (performance.now() < until);
 };
 
-describe('the delay of the event loop', () => {
-  it('is seen where something blocks the loop, told once and kept as the longest', async () => {
+describe('LoopDelay', () => {
+  it('measures a blocked event loop, warns once and keeps the longest delay', async () => {
     const warnings: string[] = [];
     const log: Log = { say: () => undefined, warn: (text) => void warnings.push(text) };
     const delay = LoopDelay.start(RealClock.make(), log, 300);
     const value = (name: string): number => delay.families().find((f) => f.name === name)!.samples[0]!.value;
-    await nap(120);
-    block(500);
-    await nap(120);
+    await sleep(120);
+    blockLoop(500);
+    await sleep(120);
     delay.summarize();
     expect(value('event_loop_delay_max_ms')).to.be.within(400, 1500);
     expect(warnings).to.have.length(1);
--- a/packages/forms/src/lot.test.ts
+++ b/packages/forms/src/lot.test.ts
@@ -1,23 +1,23 @@
 import { expect } from 'chai';
 import { Lot } from './lot.js';
 
-describe('Rendezvous', () => {
-  const names = (n: number): string[] => Array.from({ length: n }, (_, i) => `m${i}`);
-  for (const [n, many] of [
+describe('RendezvousHash', () => {
+  const nodes = (n: number): string[] => Array.from({ length: n }, (_, i) => `m${i}`);
+  for (const [n, count] of [
     [0, 3],
     [2, 3],
     [3, 3],
     [60, 1],
     [60, 6],
   ] as const)
-    it(`names of ${n} the first ${many} as it ranks them`, () => {
-      const few = (key: string): string[] => Lot.few(key, names(n), (x) => x, many);
+    it(`picks of ${n} nodes the same first ${count} as the full ranking`, () => {
+      const top = (key: string): string[] => Lot.few(key, nodes(n), (x) => x, count);
       for (let key = 0; key < 50; key++)
-        expect(few(`k${key}`)).to.deep.equal(Lot.rank(`k${key}`, names(n), (x) => x).slice(0, many));
+        expect(top(`k${key}`)).to.deep.equal(Lot.rank(`k${key}`, nodes(n), (x) => x).slice(0, count));
     });
   for (const n of [0, 1, 2, 9, 60])
-    it(`names of ${n} first whom it ranks first`, () => {
+    it(`picks of ${n} nodes the same first as the full ranking`, () => {
       for (let key = 0; key < 50; key++)
-        expect(Lot.first(`k${key}`, names(n), (x) => x)).to.equal(Lot.rank(`k${key}`, names(n), (x) => x)[0]);
+        expect(Lot.first(`k${key}`, nodes(n), (x) => x)).to.equal(Lot.rank(`k${key}`, nodes(n), (x) => x)[0]);
     });
 });
--- a/packages/forms/src/metricstext.test.ts
+++ b/packages/forms/src/metricstext.test.ts
@@ -1,8 +1,8 @@
 import { expect } from 'chai';
 import { MetricsText } from './metricstext.js';
 
-describe('metrics as text', () => {
-  it('renders a head for each metric and a line for each sample, with values escaped', () => {
+describe('MetricsText', () => {
+  it('renders a header per metric and a line per sample, with label values escaped', () => {
     const text = MetricsText.of([
       {
         ...{ name: 'runs_total', help: 'runs by outcome', kind: 'counter' },
--- a/packages/forms/src/post.test.ts
+++ b/packages/forms/src/post.test.ts
@@ -8,54 +8,61 @@
 import type { World } from './world.js';
 
 const me: Ident = { id: 'me', born: 'b', addr: '127.0.0.1:1', site: 's', role: 'counter' };
-const form = Type.Object({ n: Type.Integer() }, { additionalProperties: false });
+const schema = Type.Object({ n: Type.Integer() }, { additionalProperties: false });
 const cases: [string, Partial<Mail>, unknown][] = [
-  ['mail for this identity', {}, { n: 2 }],
-  ['mail for whoever is here', { to: '' }, { n: 2 }],
-  ['mail for another identity', { to: 'other' }, null],
-  ['mail of an unknown kind', { kind: 'other' }, null],
-  ['mail of the wrong shape', { body: { n: 'x' } }, null],
-  ['mail with a key not known', { body: { n: 1, more: 1 } }, null],
-  ['mail of the next release, with a key not known', { v: 6, body: { n: 1, more: 1 } }, { n: 2 }],
-  ['mail of the next release, of the wrong shape', { v: 6, body: { n: 'x' } }, null],
-  ['mail of a release too new', { v: 7 }, null],
-  ['mail of the release before', { v: 4 }, { n: 2 }],
-  ['mail of a release too old', { v: 3 }, null],
+  ['a message for this daemon', {}, { n: 2 }],
+  ['a message for whichever daemon has the address', { to: '' }, { n: 2 }],
+  ['a message for another daemon', { to: 'other' }, null],
+  ['a message of an unknown kind', { kind: 'other' }, null],
+  ['a message that does not match its schema', { body: { n: 'x' } }, null],
+  ['a message with an unknown key', { body: { n: 1, more: 1 } }, null],
+  ['a message of the next protocol version with an unknown key', { v: 6, body: { n: 1, more: 1 } }, { n: 2 }],
+  ['a message of the next protocol version that does not match its schema', { v: 6, body: { n: 'x' } }, null],
+  ['a message of a protocol version too new', { v: 7 }, null],
+  ['a message of the previous protocol version', { v: 4 }, { n: 2 }],
+  ['a message of a protocol version too old', { v: 3 }, null],
 ];
 
-describe('Post', () => {
+describe('Messaging', () => {
   for (const [name, change, want] of cases) {
-    it(`${want === null ? 'turns away' : 'takes'} ${name}`, async () => {
-      let ear: (m: Mail) => Promise<unknown> = () => Promise.resolve(null);
+    it(`${want === null ? 'refuses' : 'accepts'} ${name}`, async () => {
+      let deliver: (m: Mail) => Promise<unknown> = () => Promise.resolve(null);
       const world = {
         wire: {
-          hear: (fn: typeof ear) => {
-            ear = fn;
+          hear: (fn: typeof deliver) => {
+            deliver = fn;
           },
           ask: () => Promise.resolve(Ok(null)),
         },
         log: Logs.quiet,
       } as unknown as World;
-      Post.make(world, () => me).on('add', form, (b) => ({ n: b.n + 1 }));
-      const got = await ear({ v: 5, to: 'me', from: { ...me, id: 'you' }, kind: 'add', body: { n: 1 }, ...change });
-      expect(got).to.deep.equal(want);
+      Post.make(world, () => me).on('add', schema, (b) => ({ n: b.n + 1 }));
+      const reply = await deliver({
+        v: 5,
+        to: 'me',
+        from: { ...me, id: 'you' },
+        kind: 'add',
+        body: { n: 1 },
+        ...change,
+      });
+      expect(reply).to.deep.equal(want);
     });
   }
-  it('has no reply to what is told, and turns away what does not fit all the same', async () => {
-    let ear: (m: Mail) => Promise<unknown> = () => Promise.resolve(null);
+  it('sends no reply to a one-way message, but refuses an invalid one', async () => {
+    let deliver: (m: Mail) => Promise<unknown> = () => Promise.resolve(null);
     const world = {
       wire: {
-        hear: (fn: typeof ear) => {
-          ear = fn;
+        hear: (fn: typeof deliver) => {
+          deliver = fn;
         },
       },
       log: Logs.quiet,
     } as unknown as World;
-    const got: number[] = [];
-    Post.make(world, () => me).heed('news', form, (b) => void got.push(b.n));
-    const news: Mail = { v: 4, to: 'me', from: { ...me, id: 'you' }, kind: 'news', body: { n: 1 } };
-    expect(await ear(news)).to.equal(undefined);
-    expect(await ear({ ...news, body: {} })).to.equal(null);
-    expect(got).to.deep.equal([1]);
+    const received: number[] = [];
+    Post.make(world, () => me).heed('news', schema, (b) => void received.push(b.n));
+    const message: Mail = { v: 4, to: 'me', from: { ...me, id: 'you' }, kind: 'news', body: { n: 1 } };
+    expect(await deliver(message)).to.equal(undefined);
+    expect(await deliver({ ...message, body: {} })).to.equal(null);
+    expect(received).to.deep.equal([1]);
   });
 });
--- a/packages/forms/src/tcpwire.test.ts
+++ b/packages/forms/src/tcpwire.test.ts
@@ -4,14 +4,14 @@
 import type { Mail } from './mail.js';
 import { TcpWire } from './tcpwire.js';
 
-const port = (): Promise<number> =>
-  new Promise((done) => {
-    const s = createServer().listen(0, '127.0.0.1', () => {
-      const p = (s.address() as { port: number }).port;
-      s.close(() => done(p));
+const freePort = (): Promise<number> =>
+  new Promise((resolve) => {
+    const server = createServer().listen(0, '127.0.0.1', () => {
+      const port = (server.address() as { port: number }).port;
+      server.close(() => resolve(port));
     });
   });
-const mail = (kind: string, to = ''): Mail => ({
+const message = (kind: string, to = ''): Mail => ({
   v: 1,
   to,
   from: { id: 'a', born: 'x', addr: '127.0.0.1:1', site: 's', role: 'counter' },
@@ -23,15 +23,15 @@
   let a: Awaited<ReturnType<typeof TcpWire.make>>,
     b: typeof a,
     at = '',
-    told: unknown[] = [];
+    received: unknown[] = [];
   beforeEach(async () => {
-    at = `127.0.0.1:${await port()}`;
-    a = await TcpWire.make(`127.0.0.1:${await port()}`, Logs.quiet());
+    at = `127.0.0.1:${await freePort()}`;
+    a = await TcpWire.make(`127.0.0.1:${await freePort()}`, Logs.quiet());
     b = await TcpWire.make(at, Logs.quiet());
-    told = [];
+    received = [];
     b.hear((m) => {
       if (m.kind === 'told') {
-        told.push(m.body);
+        received.push(m.body);
         return Promise.resolve(undefined);
       }
       return Promise.resolve(m.kind === 'echo' ? m.body : m.kind === 'hang' ? new Promise(() => undefined) : null);
@@ -42,55 +42,57 @@
     await b.close();
   });
 
-  it('carries many asks on one connection', async () => {
-    const got = await Promise.all(Array.from({ length: 50 }, () => a.ask(at, mail('echo'), 5000)));
+  it('carries many concurrent requests on one connection', async () => {
+    const got = await Promise.all(Array.from({ length: 50 }, () => a.ask(at, message('echo'), 5000)));
     expect(got.every((g) => g.ok)).to.equal(true);
   });
-  it('tells on the same connection, before what is asked after, and nothing comes back', async () => {
-    const [host, p] = at.split(':') as [string, string];
-    const s = connect(Number(p), host);
-    let back = '';
-    s.on('data', (bytes) => (back += bytes.toString()));
-    s.write(`${JSON.stringify({ n: 1, mail: mail('told') })}\n${JSON.stringify({ n: 2, mail: mail('echo') })}\n`);
-    while (!back.includes('\n')) await new Promise((done) => setImmediate(done));
-    s.destroy();
-    expect(JSON.parse(back)).to.deep.equal({ n: 2, re: { n: 1 } });
-    a.tell(at, mail('told'));
-    await a.ask(at, mail('echo'), 5000);
-    expect(told).to.deep.equal([{ n: 1 }, { n: 1 }]);
+  it('delivers a one-way message before a later request on the same connection, without a reply', async () => {
+    const [host, port] = at.split(':') as [string, string];
+    const sock = connect(Number(port), host);
+    let replies = '';
+    sock.on('data', (bytes) => (replies += bytes.toString()));
+    sock.write(
+      `${JSON.stringify({ n: 1, mail: message('told') })}\n${JSON.stringify({ n: 2, mail: message('echo') })}\n`,
+    );
+    while (!replies.includes('\n')) await new Promise((done) => setImmediate(done));
+    sock.destroy();
+    expect(JSON.parse(replies)).to.deep.equal({ n: 2, re: { n: 1 } });
+    a.tell(at, message('told'));
+    await a.ask(at, message('echo'), 5000);
+    expect(received).to.deep.equal([{ n: 1 }, { n: 1 }]);
   });
-  it('says unsent only where nothing listens', async () => {
-    const free = `127.0.0.1:${await port()}`;
-    expect((await a.ask(free, mail('echo'), 5000)).val).to.equal('unsent');
-    expect((await a.ask(at, mail('hang'), 50)).val).to.equal('lost');
+  it('returns unsent only if nothing listens at the address', async () => {
+    const unused = `127.0.0.1:${await freePort()}`;
+    expect((await a.ask(unused, message('echo'), 5000)).val).to.equal('unsent');
+    expect((await a.ask(at, message('hang'), 50)).val).to.equal('lost');
   });
-  it('says lost when the other side dies with the mail in hand', async () => {
-    const job = a.ask(at, mail('hang'), 60_000);
-    await a.ask(at, mail('echo'), 5000);
+  it('returns lost if the peer closes before it replies', async () => {
+    const request = a.ask(at, message('hang'), 60_000);
+    await a.ask(at, message('echo'), 5000);
     await b.close();
-    expect((await job).val).to.equal('lost');
+    expect((await request).val).to.equal('lost');
   });
-  const bad: [string, string][] = [
-    ['no JSON', 'hello\n'],
-    ['no frame', '{"n":1}\n'],
-    ['a frame of no voice', `${JSON.stringify({ n: 1, mail: { ...mail('echo'), v: 0 } })}\n`],
-    ['a frame with more in it', `${JSON.stringify({ n: 1, mail: mail('echo'), more: 1 })}\n`],
+  const invalid: [string, string][] = [
+    ['text that is not JSON', 'hello\n'],
+    ['JSON that is not a frame', '{"n":1}\n'],
+    ['a frame with an invalid protocol version', `${JSON.stringify({ n: 1, mail: { ...message('echo'), v: 0 } })}\n`],
+    ['a frame with an unknown key', `${JSON.stringify({ n: 1, mail: message('echo'), more: 1 })}\n`],
     ['a line too long', 'x'.repeat(9 * 1024 * 1024)],
   ];
-  for (const [name, text] of bad) {
-    it(`closes a connection that sends ${name}, and no other`, async () => {
-      const [host, p] = at.split(':') as [string, string];
-      const s = connect(Number(p), host);
-      s.on('error', () => undefined);
-      s.write(text);
+  for (const [name, text] of invalid) {
+    it(`closes only the connection that sends ${name}`, async () => {
+      const [host, port] = at.split(':') as [string, string];
+      const sock = connect(Number(port), host);
+      sock.on('error', () => undefined);
+      sock.write(text);
       await new Promise((done) => {
-        s.once('close', done);
+        sock.once('close', done);
       });
-      expect((await a.ask(at, mail('echo'), 5000)).ok).to.equal(true);
+      expect((await a.ask(at, message('echo'), 5000)).ok).to.equal(true);
     });
   }
-  it('closes the connection of one that was turned away', async () => {
-    expect((await a.ask(at, mail('other'), 5000)).val).to.equal(null);
-    expect((await a.ask(at, mail('echo'), 5000)).ok).to.equal(true);
+  it('opens a new connection after a message was refused', async () => {
+    expect((await a.ask(at, message('other'), 5000)).val).to.equal(null);
+    expect((await a.ask(at, message('echo'), 5000)).ok).to.equal(true);
   });
 });
--- a/packages/purge/src/chunks.test.ts
+++ b/packages/purge/src/chunks.test.ts
@@ -6,24 +6,24 @@
 );
 
 describe('Chunks', () => {
-  it('joined are the text, and are neither small nor large', () => {
-    const all = Chunks.split(text);
-    expect(all.join('')).to.equal(text);
-    expect(text.length / all.length).to.be.within(600, 1500);
-    for (const c of all.slice(0, -1)) expect(c.length).to.be.within(512, 8192);
+  it('concatenate to the text and are of moderate size', () => {
+    const chunks = Chunks.split(text);
+    expect(chunks.join('')).to.equal(text);
+    expect(text.length / chunks.length).to.be.within(600, 1500);
+    for (const c of chunks.slice(0, -1)) expect(c.length).to.be.within(512, 8192);
   });
   for (const [name, odd] of [
-    ['nothing', ''],
+    ['an empty text', ''],
     ['one character', 'x'],
-    ['the same character over and over', 'x'.repeat(50_000)],
-    ['characters beyond the first plane', '😀é'.repeat(20_000)],
+    ['one character repeated', 'x'.repeat(50_000)],
+    ['characters outside the basic multilingual plane', '😀é'.repeat(20_000)],
   ] as const)
-    it(`are the text of ${name}`, () => expect(Chunks.split(odd).join('')).to.equal(odd));
-  it('beyond a change are as they were', () => {
-    const was = new Set(Chunks.split(text));
+    it(`concatenate to the text of ${name}`, () => expect(Chunks.split(odd).join('')).to.equal(odd));
+  it('stay the same away from a change', () => {
+    const before = new Set(Chunks.split(text));
     for (const at of [0, 1000, text.length / 2, text.length - 1]) {
-      const now = Chunks.split(`${text.slice(0, at)}some more${text.slice(at)}`);
-      expect(now.filter((c) => !was.has(c)).length, String(at)).to.be.at.most(3);
+      const after = Chunks.split(`${text.slice(0, at)}some more${text.slice(at)}`);
+      expect(after.filter((c) => !before.has(c)).length, String(at)).to.be.at.most(3);
     }
   });
 });
--- a/packages/purge/src/parts.test.ts
+++ b/packages/purge/src/parts.test.ts
@@ -7,225 +7,234 @@
 import { Shelf } from './shelf.js';
 
 type Row = [string, number, string];
-const row = (i: number, life = 0): Row => [`server-${i * 7919}-${life}`, i % 8, `10.2.${i % 250}.${i % 7}:8080`];
+const row = (i: number, incarnation = 0): Row => [
+  `server-${i * 7919}-${incarnation}`,
+  i % 8,
+  `10.2.${i % 250}.${i % 7}:8080`,
+];
 const rows = (n: number): Row[] => Array.from({ length: n }, (_, i) => row(i));
-const MANY = 5000;
-const doc = (step: number, all: readonly unknown[]): Doc => ({ name: 'list', mark: [1, step], body: { rows: all } });
+const ROW_COUNT = 5000;
+const doc = (step: number, content: readonly unknown[]): Doc => ({
+  name: 'list',
+  mark: [1, step],
+  body: { rows: content },
+});
 const size = (d: Doc): number => JSON.stringify(d.body).length;
 const copy = <T>(v: T): T => JSON.parse(JSON.stringify(v)) as T;
 
-const changed = (all: Row[], at: number): Row[] => all.map((r, i) => (i === at ? row(i, 1) : r));
-/** Characters told beside what is held; Infinity where it goes whole. */
+const withChangedRow = (all: Row[], at: number): Row[] => all.map((r, i) => (i === at ? row(i, 1) : r));
+/** The last column is the maximum number of literal characters; Infinity if the record is sent whole. */
 const changes: [string, (all: Row[]) => unknown[], number][] = [
-  ['nothing is changed', (all) => all, 0],
-  ['the first row is changed', (all) => changed(all, 0), 9000],
-  ['a row in the middle is changed', (all) => changed(all, MANY / 2), 9000],
-  ['the last row is changed', (all) => changed(all, MANY - 1), 9000],
-  ['a row is put before all others', (all) => [row(-1), ...all], 9000],
-  ['a row is gone', (all) => all.filter((_, i) => i !== 77), 9000],
-  ['one row goes and another comes elsewhere', (all) => [...all.filter((_, i) => i !== 9), row(MANY)], 18_000],
-  ['halves change places', (all) => [...all.slice(MANY / 2), ...all.slice(0, MANY / 2)], 18_000],
-  ['it is twice as long', (all) => [...all, ...all], 9000],
-  ['characters beyond the first plane come in', (all) => [...all, '😀'.repeat(700), '\ud83d'], 18_000],
-  ['each row is changed', (all) => all.map((_, i) => row(i, 2)), Infinity],
-  ['it is short now', (all) => all.slice(0, 10), Infinity],
+  ['no row changes', (all) => all, 0],
+  ['the first row changes', (all) => withChangedRow(all, 0), 9000],
+  ['a row in the middle changes', (all) => withChangedRow(all, ROW_COUNT / 2), 9000],
+  ['the last row changes', (all) => withChangedRow(all, ROW_COUNT - 1), 9000],
+  ['a row is inserted at the start', (all) => [row(-1), ...all], 9000],
+  ['a row is removed', (all) => all.filter((_, i) => i !== 77), 9000],
+  ['a row is removed and another is appended', (all) => [...all.filter((_, i) => i !== 9), row(ROW_COUNT)], 18_000],
+  ['the halves are swapped', (all) => [...all.slice(ROW_COUNT / 2), ...all.slice(0, ROW_COUNT / 2)], 18_000],
+  ['the content is doubled', (all) => [...all, ...all], 9000],
+  ['characters outside the basic multilingual plane are added', (all) => [...all, '😀'.repeat(700), '\ud83d'], 18_000],
+  ['every row changes', (all) => all.map((_, i) => row(i, 2)), Infinity],
+  ['the record becomes short', (all) => all.slice(0, 10), Infinity],
 ];
 
-describe('A long doc by parts', () => {
-  for (const [name, change, most] of changes)
-    it(`is laid together word for word where ${name}`, () => {
+describe('DocDeltas', () => {
+  for (const [name, change, maxLiteral] of changes)
+    it(`reproduce the new version exactly, or leave it to be sent whole, when ${name}`, () => {
       const mine = DocParts.make(),
         theirs = DocParts.make();
-      const old = copy(doc(1, rows(MANY))),
-        now = copy(doc(2, change(rows(MANY))));
+      const old = copy(doc(1, rows(ROW_COUNT))),
+        now = copy(doc(2, change(rows(ROW_COUNT))));
       const part = theirs.part(now, mine.held(old)!);
-      if (most === Infinity) {
+      if (maxLiteral === Infinity) {
         expect(part).to.equal(null);
         return;
       }
-      const told = part!.pieces.reduce((n, p) => n + (typeof p === 'string' ? p.length : 0), 0);
-      expect(told).to.be.at.most(most);
-      expect(JSON.stringify(part).length).to.be.at.most(most + 3000);
+      const literalChars = part!.pieces.reduce((n, p) => n + (typeof p === 'string' ? p.length : 0), 0);
+      expect(literalChars).to.be.at.most(maxLiteral);
+      expect(JSON.stringify(part).length).to.be.at.most(maxLiteral + 3000);
       const made = mine.lay(old, copy(part!));
       expect(JSON.stringify(made)).to.equal(JSON.stringify(now));
     });
   const good = (): { old: Doc; now: Doc; part: DocPart } => {
-    const old = doc(1, rows(MANY)),
-      now = doc(2, changed(rows(MANY), 2222));
-    const parts = DocParts.make();
-    return { old, now, part: parts.part(now, parts.held(old)!)! };
+    const old = doc(1, rows(ROW_COUNT)),
+      now = doc(2, withChangedRow(rows(ROW_COUNT), 2222));
+    const deltas = DocParts.make();
+    return { old, now, part: deltas.part(now, deltas.held(old)!)! };
   };
-  const wrong: [string, (p: DocPart, old: Doc) => DocPart][] = [
-    ['a run is lost', (p) => ({ ...p, pieces: p.pieces.slice(1) })],
-    ['the text is lost', (p) => ({ ...p, pieces: p.pieces.filter((x) => typeof x !== 'string') })],
+  const corruptions: [string, (p: DocPart, old: Doc) => DocPart][] = [
+    ['a run is missing', (p) => ({ ...p, pieces: p.pieces.slice(1) })],
+    ['the literal text is missing', (p) => ({ ...p, pieces: p.pieces.filter((x) => typeof x !== 'string') })],
     [
-      'a run begins one off',
+      'a run begins one chunk late',
       (p) => ({ ...p, pieces: p.pieces.map((x) => (typeof x === 'string' ? x : [x[0] + 1, x[1]])) }),
     ],
-    ['a run is beyond what is held', (p) => ({ ...p, pieces: [...p.pieces.slice(0, -1), [9_999_999, 5]] })],
-    ['runs change places', (p) => ({ ...p, pieces: [...p.pieces].reverse() })],
+    ['a run is outside the version held', (p) => ({ ...p, pieces: [...p.pieces.slice(0, -1), [9_999_999, 5]] })],
+    ['the pieces are in another order', (p) => ({ ...p, pieces: [...p.pieces].reverse() })],
     [
-      'a character is another',
+      'a literal character is altered',
       (p) => ({ ...p, pieces: p.pieces.map((x) => (typeof x === 'string' ? x.replace('1', '2') : x)) }),
     ],
     ['the digest is of another text', (p) => ({ ...p, sum: `${p.sum.slice(1)}0` })],
     ['the digest is of another version', (p) => ({ ...p, mark: [1, 9] })],
-    ['nothing is told', (p) => ({ ...p, pieces: [] })],
+    ['there are no pieces', (p) => ({ ...p, pieces: [] })],
   ];
-  for (const [name, bend] of wrong)
-    it(`is not taken where ${name}`, () => {
+  for (const [name, corrupt] of corruptions)
+    it(`are not applied when ${name}`, () => {
       const { old, part } = good();
-      expect(DocParts.make().lay(old, bend(part, old))).to.equal(null);
+      expect(DocParts.make().lay(old, corrupt(part, old))).to.equal(null);
     });
-  it('is not taken by who holds another version than was named', () => {
+  it('are not applied to another version than the one they were computed against', () => {
     const { part } = good();
-    expect(DocParts.make().lay(doc(1, rows(MANY).slice(300)), part)).to.equal(null);
+    expect(DocParts.make().lay(doc(1, rows(ROW_COUNT).slice(300)), part)).to.equal(null);
     expect(DocParts.make().lay(doc(1, rows(3)), part)).to.equal(null);
   });
-  it('is cut as if it had come whole, wherever parts were laid together', () => {
-    const parts = DocParts.make();
-    let old = doc(1, rows(MANY));
+  it('split a version that a delta was applied to as if it had been received whole', () => {
+    const deltas = DocParts.make();
+    let old = doc(1, rows(ROW_COUNT));
     for (let i = 2; i < 20; i++) {
-      const now = doc(i, changed(rows(MANY + i), i * 241));
-      old = parts.lay(old, DocParts.make().part(now, parts.held(old)!)!)!;
-      expect(parts.held(old)).to.equal(DocParts.make().held(now));
+      const now = doc(i, withChangedRow(rows(ROW_COUNT + i), i * 241));
+      old = deltas.lay(old, DocParts.make().part(now, deltas.held(old)!)!)!;
+      expect(deltas.held(old)).to.equal(DocParts.make().held(now));
     }
   });
-  it('is cut once a version', () => {
-    const parts = DocParts.make(),
-      old = doc(1, rows(MANY));
-    const was = parts.held(old);
+  it('split each version only once', () => {
+    const deltas = DocParts.make(),
+      old = doc(1, rows(ROW_COUNT));
+    const before = deltas.held(old);
     (old.body as { rows: Row[] }).rows.length = 0;
-    expect(parts.held(old)).to.equal(was);
+    expect(deltas.held(old)).to.equal(before);
   });
 });
 
 const ident = (id: string): Ident => ({ id, born: 'b', addr: `${id}:1`, site: 's', role: 'counter' });
-type Ear = (m: Mail) => Promise<unknown>;
-/** Two daemons on one wire; `bend` may change what is answered. */
+type MessageHandler = (m: Mail) => Promise<unknown>;
+/** Two daemons connected to each other; `corrupt` may change or drop (undefined) the n-th reply. */
 const pair = (mine: Doc | null, theirs: Doc | null) => {
-  const ears = new Map<string, Ear>();
-  const mails: { mail: Mail; back: unknown }[] = [];
-  let bend: (back: unknown, n: number) => unknown = (b) => b;
-  const daemon = (id: string, held: Doc | null) => {
+  const handlers = new Map<string, MessageHandler>();
+  const exchanges: { mail: Mail; back: unknown }[] = [];
+  let corrupt: (reply: unknown, n: number) => unknown = (reply) => reply;
+  const makeDaemon = (id: string, held: Doc | null) => {
     const world = {
       wire: {
-        hear: (fn: Ear) => void ears.set(`${id}:1`, fn),
+        hear: (fn: MessageHandler) => void handlers.set(`${id}:1`, fn),
         ask: async (to: string, mail: Mail) => {
           const sent = copy(mail);
-          const back = bend(copy(await ears.get(to)!(sent)), mails.length);
-          mails.push({ mail: sent, back });
+          const back = corrupt(copy(await handlers.get(to)!(sent)), exchanges.length);
+          exchanges.push({ mail: sent, back });
           return back === undefined ? Err('lost') : Ok(back);
         },
       },
       log: Logs.quiet,
     } as unknown as World;
-    const shelf = Shelf.make(() => true);
-    if (held) shelf.offer(held);
+    const recordStore = Shelf.make(() => true);
+    if (held) recordStore.offer(held);
     return {
-      shelf,
-      pulling: DocPuller.make(
+      recordStore,
+      puller: DocPuller.make(
         Post.make(world, () => ident(id)),
-        shelf,
+        recordStore,
         400,
       ),
     };
   };
-  const me = daemon('me', mine),
-    you = daemon('you', theirs);
+  const me = makeDaemon('me', mine),
+    you = makeDaemon('you', theirs);
   return {
-    ...{ me, you, mails, ears },
-    pull: () => me.pulling.pull('you:1', 'you', 'list'),
-    bent: (fn: typeof bend) => (bend = fn),
+    ...{ me, you, exchanges, handlers },
+    pull: () => me.puller.pull('you:1', 'you', 'list'),
+    corruptReplies: (fn: typeof corrupt) => (corrupt = fn),
   };
 };
-const before = (): Doc => doc(1, rows(MANY));
-const after = (): Doc => doc(2, changed(rows(MANY), 100));
-/** A daemon that knows no parts: the schema, and the checks by voice, of then. */
-const aged = (voice: number, held: Doc): Ear => {
-  const form = Type.Object({ name: Type.String() }, { additionalProperties: false });
+const before = (): Doc => doc(1, rows(ROW_COUNT));
+const after = (): Doc => doc(2, withChangedRow(rows(ROW_COUNT), 100));
+/** A daemon of a release without deltas: its schema of pulls, and its checks at a given protocol version. */
+const withoutDeltas = (version: number, held: Doc): MessageHandler => {
+  const schema = Type.Object({ name: Type.String() }, { additionalProperties: false });
   return (m) => {
-    const body = Check.parse(form, m.v > voice ? Check.withoutUnknownKeys(form, m.body) : m.body);
+    const body = Check.parse(schema, m.v > version ? Check.withoutUnknownKeys(schema, m.body) : m.body);
     return Promise.resolve(body.ok ? { doc: body.val.name === held.name ? held : null } : null);
   };
 };
-const asked = (p: ReturnType<typeof pair>): string[] =>
-  p.mails.map(({ mail }) => Object.keys(mail.body as object).join(' '));
+/** The keys of each request. */
+const requestKeys = (p: ReturnType<typeof pair>): string[] =>
+  p.exchanges.map(({ mail }) => Object.keys(mail.body as object).join(' '));
 
-describe('A pull', () => {
-  it('of a long doc brings only what is beside what is held', async () => {
+describe('DocPuller', () => {
+  it('pulls only a delta of a long record', async () => {
     const p = pair(before(), after());
     expect(await p.pull()).to.deep.equal(after());
-    expect(asked(p)).to.deep.equal(['name held']);
-    expect(JSON.stringify(p.mails[0]).length).to.be.below(size(after()) / 10);
-    expect(p.me.pulling.counters()).to.deep.equal({ parts: 1, again: 0 });
+    expect(requestKeys(p)).to.deep.equal(['name held']);
+    expect(JSON.stringify(p.exchanges[0]).length).to.be.below(size(after()) / 10);
+    expect(p.me.puller.counters()).to.deep.equal({ parts: 1, again: 0 });
   });
   const plain: [string, Doc | null, Doc | null][] = [
-    ['a doc that is not held', null, after()],
-    ['a short doc', doc(1, rows(100)), doc(2, rows(101))],
-    ['a doc that was short', doc(1, rows(100)), after()],
-    ['a doc that the other has not', null, null],
+    ['a record that is not held', null, after()],
+    ['a short record', doc(1, rows(100)), doc(2, rows(101))],
+    ['a record that was short', doc(1, rows(100)), after()],
+    ['a record that the other daemon does not hold', null, null],
   ];
   for (const [name, mine, theirs] of plain)
-    it(`of ${name} is as it ever was`, async () => {
+    it(`pulls ${name} without naming chunks`, async () => {
       const p = pair(mine, theirs);
       expect(await p.pull()).to.deep.equal(theirs);
-      expect(asked(p)).to.deep.equal(['name']);
-      expect(p.mails[0]!.back).to.deep.equal({ doc: theirs });
+      expect(requestKeys(p)).to.deep.equal(['name']);
+      expect(p.exchanges[0]!.back).to.deep.equal({ doc: theirs });
     });
   const whole: [string, Doc | null][] = [
     [
-      'each row is another',
+      'every row differs',
       doc(
         2,
-        rows(MANY).map((_, i) => row(i, 3)),
+        rows(ROW_COUNT).map((_, i) => row(i, 3)),
       ),
     ],
-    ['it is short now', doc(2, rows(10))],
-    ['the other has none', null],
+    ['the record becomes short', doc(2, rows(10))],
+    ['the other daemon holds none', null],
   ];
   for (const [name, theirs] of whole)
-    it(`brings the whole at once where ${name}`, async () => {
+    it(`receives the whole in reply to the first request when ${name}`, async () => {
       const p = pair(before(), theirs);
       expect(await p.pull()).to.deep.equal(theirs);
-      expect(p.mails.map((m) => m.back)).to.deep.equal([{ doc: theirs }]);
+      expect(p.exchanges.map((m) => m.back)).to.deep.equal([{ doc: theirs }]);
     });
-  it('from a daemon of the release before brings the whole', async () => {
+  it('pulls the whole from a daemon of the previous release', async () => {
     const p = pair(before(), null);
-    p.ears.set('you:1', aged(4, after()));
+    p.handlers.set('you:1', withoutDeltas(4, after()));
     expect(await p.pull()).to.deep.equal(after());
-    expect(asked(p)).to.deep.equal(['name held']);
+    expect(requestKeys(p)).to.deep.equal(['name held']);
   });
-  it('that is turned away for what it names is made again without', async () => {
+  it('repeats a refused request without the chunk digests', async () => {
     const p = pair(before(), null);
-    p.ears.set('you:1', aged(5, after()));
+    p.handlers.set('you:1', withoutDeltas(5, after()));
     expect(await p.pull()).to.deep.equal(after());
-    expect(asked(p)).to.deep.equal(['name held', 'name']);
+    expect(requestKeys(p)).to.deep.equal(['name held', 'name']);
   });
-  it('by a daemon of the release before is answered whole', async () => {
+  it('sends the whole to a daemon of the previous release', async () => {
     const p = pair(null, after());
     const mail: Mail = { v: 4, to: 'you', from: ident('old'), kind: 'purge.pull', body: { name: 'list' } };
-    expect(await p.ears.get('you:1')!(mail)).to.deep.equal({ doc: after() });
+    expect(await p.handlers.get('you:1')!(mail)).to.deep.equal({ doc: after() });
   });
-  type Back = { doc: Doc | null; part?: DocPart };
-  const spoilt: [string, (b: Back) => unknown][] = [
-    ['a range is lost', (b) => ({ ...b, part: { ...b.part!, pieces: b.part!.pieces.slice(1) } })],
-    ['the digest is wrong', (b) => ({ ...b, part: { ...b.part!, sum: 'x' } })],
-    ['the part has another form', (b) => ({ ...b, part: { pieces: 'none' } })],
+  type PullReply = { doc: Doc | null; part?: DocPart };
+  const invalidReplies: [string, (b: PullReply) => unknown][] = [
+    ['a run is missing in the delta', (b) => ({ ...b, part: { ...b.part!, pieces: b.part!.pieces.slice(1) } })],
+    ['the digest of the delta is wrong', (b) => ({ ...b, part: { ...b.part!, sum: 'x' } })],
+    ['the delta does not match its schema', (b) => ({ ...b, part: { pieces: 'none' } })],
   ];
-  for (const [name, spoil] of spoilt)
-    it(`where ${name} is made again for the whole, once`, async () => {
+  for (const [name, corrupt] of invalidReplies)
+    it(`requests the whole once when ${name}`, async () => {
       const p = pair(before(), after());
-      p.bent((b, n) => (n === 0 ? spoil(b as Back) : b));
+      p.corruptReplies((b, n) => (n === 0 ? corrupt(b as PullReply) : b));
       expect(await p.pull()).to.deep.equal(after());
-      expect(asked(p)).to.deep.equal(['name held', 'name']);
-      expect(p.me.pulling.counters()).to.deep.equal({ parts: 0, again: 1 });
-      expect(p.me.shelf.mark('list')).to.deep.equal([1, 1]);
+      expect(requestKeys(p)).to.deep.equal(['name held', 'name']);
+      expect(p.me.puller.counters()).to.deep.equal({ parts: 0, again: 1 });
+      expect(p.me.recordStore.mark('list')).to.deep.equal([1, 1]);
     });
-  it('whose answer is lost is not made again: the next is asked', async () => {
+  it('does not repeat a request whose reply is lost, since another daemon can be asked', async () => {
     const p = pair(before(), after());
-    p.bent(() => undefined);
+    p.corruptReplies(() => undefined);
     expect(await p.pull()).to.equal(null);
-    expect(p.mails).to.have.length(1);
+    expect(p.exchanges).to.have.length(1);
   });
 });
