--- a/packages/forms/src/filedisk.ts
+++ b/packages/forms/src/filedisk.ts
@@ -33,8 +33,8 @@
  * Durable storage in a folder, one file per version. A version is written to a temporary file, which is synced and
  * renamed, and then the folder is synced.
  * Invariants: reading changes nothing, so a damaged file is found again even if a start is interrupted; when files are
- * set aside, the renames of all files of OWNER_KIND are durable before any other file is renamed, so a folder that still
- * identifies its owner has all its other files.
+ * set aside, the renames of all files of OWNER_KIND are durable before any other file is renamed, so a folder that
+ * still identifies its owner has all its other files.
  */
 export const FileDisk = {
   make: async (dir: string): Promise<Disk> => FileDisk.over(await RealFolder.make(dir)),
--- a/packages/forms/src/framer.ts
+++ b/packages/forms/src/framer.ts
@@ -5,7 +5,8 @@
 const MAX_LINE_BYTES = 8 * 1024 * 1024;
 
 /**
- * Reads and writes frames on a connection, one JSON document per line. Invariant: nothing is read after an invalid frame.
+ * Reads and writes frames on a connection, one JSON document per line.
+ * Invariant: nothing is read after an invalid frame.
  */
 export const Framer = {
   /** Calls `onFrame` for each frame, and `onInvalid` once at the first one that is invalid. */
--- a/packages/forms/src/post.ts
+++ b/packages/forms/src/post.ts
@@ -20,7 +20,8 @@
 
 /**
  * Sends and dispatches the messages of one daemon and validates all requests and replies. Unknown keys are an error in
- * requests of our own or an older protocol version; they are removed from requests of the next version and from replies.
+ * messages of our own or the previous protocol version; they are removed from messages of the next version and from
+ * replies.
  */
 export const Post = {
   make(world: World, self: () => Ident): PostBox {
--- a/packages/forms/src/settingsreader.ts
+++ b/packages/forms/src/settingsreader.ts
@@ -33,7 +33,7 @@
     const faults = SettingsReader.ports(parsed.val);
     return faults.length > 0 ? Err(faults) : parsed;
   },
-  /** Checks the ranges in all addresses, which a pattern cannot: ports up to 65535, parts of IPv4 addresses up to 255. */
+  /** Checks the ranges that a pattern cannot: ports up to 65535, the parts of IPv4 addresses up to 255. */
   ports(v: unknown, path = ''): Fault[] {
     if (typeof v === 'string' && /^(\d{1,3}(\.\d{1,3}){3}|\[.*\]):\d{1,5}$/.test(v)) {
       const port = Number(v.slice(v.lastIndexOf(':') + 1));
--- a/packages/forms/src/wirefault.ts
+++ b/packages/forms/src/wirefault.ts
@@ -1,5 +1,5 @@
 /**
- * Why a request has no valid reply. 'unsent': nothing was sent. 'lost': the peer may have received it. 'wrong': the peer
- * refused it, or its reply was invalid.
+ * Why a request has no valid reply. 'unsent': nothing was sent. 'lost': the peer may have received it. 'wrong': the
+ * peer refused it, or its reply was invalid.
  */
 export type WireFault = 'unsent' | 'lost' | 'wrong';
--- a/packages/purge/src/ageing.ts
+++ b/packages/purge/src/ageing.ts
@@ -4,8 +4,8 @@
 
 /**
  * Weighted random choice by age, with the two weightings of the paper (section 4.1.4). Ages are elapsed ms and at least
- * `minAge`, so that weights stay finite. LINEAR decreases linearly with age: the ages 2, 4 … 20 get the weights 20, 18 …
- * 2. AGE2 is 1 / age².
+ * `minAge`, so that weights stay finite. LINEAR decreases linearly with age: the ages 2, 4 … 20 get the weights
+ * 20, 18 … 2. AGE2 is 1 / age².
  */
 export const AgeWeighting = {
   linear: ((ages) => {
--- a/packages/purge/src/docpart.ts
+++ b/packages/purge/src/docpart.ts
@@ -3,7 +3,8 @@
 
 /**
  * A version of a record as a delta against another version: literal texts, and runs of chunks of the version that the
- * requester holds. Invariant: `sum` is the digest of the complete new version; a result with another digest is discarded.
+ * requester holds.
+ * Invariant: `sum` is the digest of the complete new version; a result with another digest is discarded.
  */
 export const DocPart = Type.Object(
   {
--- a/packages/purge/src/pulling.ts
+++ b/packages/purge/src/pulling.ts
@@ -7,10 +7,10 @@
 type PullReply = Static<typeof Slips.pulled>;
 
 /**
- * Pulls versions of records from other daemons and serves their pulls. A request for a long record names the chunks that
- * the requester holds, and the reply may then be a delta. Invariants: a delta is sent only to a daemon that named the
- * chunks it holds, so never to one of a release that does not know deltas; if a delta does not apply, or a daemon of
- * such a release refuses the request, the whole record is requested, once.
+ * Pulls versions of records from other daemons and serves their pulls. A request for a long record names the chunks
+ * that the requester holds, and the reply may then be a delta. Invariants: a delta is sent only to a daemon that named
+ * the chunks it holds, so never to one of a release that does not know deltas; if a delta does not apply, or a daemon
+ * of such a release refuses the request, the whole record is requested, once.
  */
 export const DocPuller = {
   make(post: PostBox, recordStore: Holding, timeoutMs: number) {
--- a/packages/purge/src/step.ts
+++ b/packages/purge/src/step.ts
@@ -4,7 +4,10 @@
 export type Arrival = {
   name: string;
   mark: Mark;
-  /** 'sender': pulled from the sender of the notice; 'fallback': from another peer; 'catchup': learnt without gossip. */
+  /**
+   * 'origin': published here; 'sender': pulled from the sender of the notice; 'fallback': pulled from another peer;
+   * 'repair': pulled after a comparison of range digests; 'catchup': learnt by other means than gossip.
+   */
   via: 'origin' | 'sender' | 'fallback' | 'repair' | 'catchup';
   /** The daemon, or the other source, that the version came from. */
   from: string;
