--- a/packages/forms/src/clock.ts
+++ b/packages/forms/src/clock.ts
@@ -1,6 +1,6 @@
 /**
  * The clocks and timers of a daemon. `mono` never goes back, and all ages and terms are computed from it; `wall` may
- * jump and is only for display.
+ * jump and is only for display and for detecting suspensions.
  */
 export type Clock = {
   /** Monotonic time in ms. */
--- a/packages/forms/src/disk.ts
+++ b/packages/forms/src/disk.ts
@@ -5,11 +5,11 @@
  * Invariant: once `put` has succeeded, the version survives any stop of the machine short of the loss of the disk.
  */
 export type Disk = {
-  /** Stores version `n` of the value of a kind. */
-  put(kind: string, n: number, v: unknown): Promise<Result<void, string>>;
+  /** Stores one version of the value of a kind. */
+  put(kind: string, version: number, value: unknown): Promise<Result<void, string>>;
   /**
-   * The newest intact version of a kind; null if there is none. `bad` is set if a newer file is damaged; `v` is then
-   * null if no file is intact. Reading changes nothing on disk.
+   * The newest intact version `n` of a kind with its value `v`; null if the kind has no file. `bad` is set if a newer
+   * file is damaged; if all files are damaged, `v` is null. Reading changes nothing on disk.
    */
   last(kind: string): Promise<Result<{ n: number; v: unknown; bad: boolean } | null, string>>;
   /** Renames all current files out of the way of later versions, starting with those that identify the owner. */
--- a/packages/forms/src/filedisk.ts
+++ b/packages/forms/src/filedisk.ts
@@ -50,20 +50,20 @@
     const read = async (name: string): Promise<{ v: unknown } | null> =>
       decode(await folder.read(name).catch(() => ''));
     /** Runs once the new version is durable; a file that cannot be removed wastes space and does no other harm. */
-    const removeOld = async (kind: string, n: number): Promise<void> => {
-      const old = (await versionsOf(kind)).filter((version) => version <= n - KEPT_VERSIONS);
+    const removeOld = async (kind: string, newest: number): Promise<void> => {
+      const old = (await versionsOf(kind)).filter((version) => version <= newest - KEPT_VERSIONS);
       for (const version of old) await folder.remove(`${kind}.${version}.json`);
     };
     return {
-      put: (kind, n, v) =>
+      put: (kind, newVersion, value) =>
         toResult(async () => {
-          const name = `${kind}.${n}.json`,
-            text = JSON.stringify(v);
+          const name = `${kind}.${newVersion}.json`,
+            text = JSON.stringify(value);
           await folder.write(`${name}.tmp`, JSON.stringify({ sum: Hash.text(text), text }));
           await folder.sync(`${name}.tmp`);
           await folder.rename(`${name}.tmp`, name);
           await folder.settle();
-          await removeOld(kind, n).catch(() => undefined);
+          await removeOld(kind, newVersion).catch(() => undefined);
         }),
       last: (kind) =>
         toResult(async () => {
