--- a/packages/forms/src/tcplines.ts
+++ b/packages/forms/src/tcplines.ts
@@ -12,7 +12,7 @@
   /** Settles with whether the connection was made. */
   ready: Promise<boolean>;
   /** The requests that wait for a reply, by sequence number. */
-  pending: Map<number, (reply: Result<unknown, WireFault>) => void>;
+  waits: Map<number, (reply: Result<unknown, WireFault>) => void>;
 };
 const splitAddress = (addr: string): { host: string; port: number } => {
   const i = addr.lastIndexOf(':');
@@ -35,7 +35,7 @@
       if (open && !open.sock.destroyed) return open;
       const sock = connect(splitAddress(to));
       sock.setNoDelay(true);
-      const pending: Connection['pending'] = new Map();
+      const pending: Connection['waits'] = new Map();
       const ready = new Promise<boolean>((resolve) => {
         const connectTimeout = setTimeout(() => {
           sock.destroy();
@@ -50,7 +50,7 @@
           resolve(false);
         });
       });
-      const connection = { sock, ready, pending };
+      const connection = { sock, ready, waits: pending };
       sock.on('error', () => undefined);
       sock.on('close', () => {
         if (connections.get(to) === connection) connections.delete(to);
@@ -82,10 +82,10 @@
         const n = nextNumber++;
         return new Promise((resolve) => {
           const replyTimeout = setTimeout(() => {
-            connection.pending.delete(n);
+            connection.waits.delete(n);
             resolve(Err('lost'));
           }, ms);
-          connection.pending.set(n, (reply) => {
+          connection.waits.set(n, (reply) => {
             clearTimeout(replyTimeout);
             resolve(reply);
           });
