--- a/packages/counter/src/admitting.ts
+++ b/packages/counter/src/admitting.ts
@@ -1,4 +1,4 @@
 import type { Admission } from './admission.js';
 
-/** Admission, as the run of a request sees it. */
+/** Admission control, as request handling uses it. */
 export type Admitting = ReturnType<typeof Admission.make>;
--- a/packages/counter/src/bound.ts
+++ b/packages/counter/src/bound.ts
@@ -1,8 +1,16 @@
 import { Type, type Static } from 'typebox';
 
 /**
- * How late a send may take hold: the life of the server it is meant for, and the time on that server's own clock
- * after which it is turned away, whoever wrote it and however long it lay in buffers.
+ * Limits when a server may start to execute a request: only in the named incarnation of the server, and only up to a
+ * time on that server's own clock. The server rejects it afterwards, whoever sent it and however long it was buffered.
  */
-export const Bound = Type.Object({ born: Type.String(), by: Type.Number() }, { additionalProperties: false });
+export const Bound = Type.Object(
+  {
+    /** Incarnation of the server. */
+    born: Type.String(),
+    /** Latest start, in ms on the server's clock. */
+    by: Type.Number(),
+  },
+  { additionalProperties: false },
+);
 export type Bound = Static<typeof Bound>;
--- a/packages/counter/src/bucket.ts
+++ b/packages/counter/src/bucket.ts
@@ -1,20 +1,22 @@
 /**
- * Extra tries this daemon may still make. Starts empty, so that a herd of restarts brings none.
- * Invariant: tries taken never exceed `rate` a request.
+ * Token bucket that limits this daemon's retries. It starts empty, so that many daemons restarting together cause no
+ * burst of retries. Invariant: retries never exceed `rate` per request.
  */
 export const Bucket = {
-  make(rate: number, cap: number) {
-    let level = 0;
+  make(rate: number, capacity: number) {
+    let tokens = 0;
     return {
+      /** Adds the fraction of a token that one request earns. */
       request(): void {
-        level = Math.min(cap, level + rate);
+        tokens = Math.min(capacity, tokens + rate);
       },
+      /** Takes the token for one retry; false if there is none. */
       take(): boolean {
-        if (level < 1) return false;
-        level -= 1;
+        if (tokens < 1) return false;
+        tokens -= 1;
         return true;
       },
-      level: (): number => level,
+      level: (): number => tokens,
     };
   },
 };
--- a/packages/counter/src/casting.ts
+++ b/packages/counter/src/casting.ts
@@ -9,64 +9,81 @@
 import { Target } from './target.js';
 import type { TownView } from './townview.js';
 
-type Tools = {
+type Dependencies = {
+  /** Clock offsets of the servers. */
   hails: Hailing;
   world: World;
+  /** Configuration and stage assignments. */
   sheet: SheetView;
+  /** Backend inventory. */
   town: TownView;
+  /** Named leases held by this daemon. */
   duty: Duties;
+  /** Gossip by which assignments are published. */
   purge: Purging;
+  /** Client of the model servers. */
   back: Back;
   self: () => string;
-  suspect: (s: Listed) => boolean;
+  /** Whether this daemon's own requests have seen the server fail lately. */
+  suspect: (server: Listed) => boolean;
 };
-const ASK = 500;
-const EMPTY = 6000;
-const PROBE = 900;
+const REQUEST_TIMEOUT_MS = 500;
+/** A draining server is switched after this time even if it still runs requests. */
+const DRAIN_TIMEOUT_MS = 6000;
+const PROBE_INTERVAL_MS = 900;
 
 /**
- * Orders servers to their parts. Invariants: an order leaves only under a fence that is live at that instant, and can't
- * take hold once the lease is over, or later than we wait for its outcome;
- * every row written carries that fence and a step above the last; a server is emptied before it swaps.
- * The holder of a row looks at its server about once a second, and twice more quickly once it did not reply.
+ * Assigns servers to the prefill and decode stages. Invariants: an order is sent only under a fencing token that is
+ * valid at that instant, and can not take effect once the lease has expired or this daemon has stopped waiting for the
+ * reply; every assignment written carries that token and a step above the last; a server is drained before it is
+ * switched. The holder of a server's lease probes it about once a second; after a probe without a reply it probes at
+ * every tick, and marks the server dark after two in a row.
  */
 export const Casting = {
-  make(t: Tools) {
-    const busy = new Set<string>();
-    const misses = new Map<string, number>();
-    const now = (): number => t.world.clock.mono();
-    const probed = new Map<string, number>();
-    let swapped = -Infinity;
-    let emptied = new Map<string, number>();
-    const log = t.world.log('cast');
+  make(deps: Dependencies) {
+    const inProgress = new Set<string>();
+    const missedProbes = new Map<string, number>();
+    const now = (): number => deps.world.clock.mono();
+    const lastProbeAt = new Map<string, number>();
+    let lastSwitchAt = -Infinity;
+    let drainStarts = new Map<string, number>();
+    const log = deps.world.log('cast');
 
-    const write = (fence: number, row: SheetRow): boolean => {
-      const mark = Order.next(t.sheet.rows().get(row.server)?.mark, fence);
-      return mark !== null && t.purge.publish({ name: `row:${row.server}`, mark, body: row });
+    const publishAssignment = (fence: number, row: SheetRow): boolean => {
+      const mark = Order.next(deps.sheet.rows().get(row.server)?.mark, fence);
+      return mark !== null && deps.purge.publish({ name: `row:${row.server}`, mark, body: row });
     };
-    const order = async (s: Listed, part: SheetRow['part']): Promise<void> => {
-      const fence = t.duty.fence(`row:${s.id}`);
-      const bound = t.hails.bound(s, Math.min(t.duty.until(`row:${s.id}`), now() + ASK));
-      if (fence === null || !bound || !t.town.good(s.id, s.born)) return;
-      const old = t.sheet.rows().get(s.id)?.mark;
-      const step = old && old[0] === fence ? old[1] + 1 : 0;
-      t.world.tell({ what: 'order', server: s.id, part, fence, step });
-      const got = await t.back.order(s.addr, { fence, step, part, stage: 'serving', who: t.self(), ...bound }, ASK);
-      if (got.ok && got.val.born === s.born && got.val.part === part) {
-        log.say(`${s.id} is to ${part}.`);
-        write(fence, { server: s.id, born: s.born, part, stage: 'serving', by: t.self() });
+    const orderStage = async (server: Listed, part: SheetRow['part']): Promise<void> => {
+      const fence = deps.duty.fence(`row:${server.id}`);
+      const bound = deps.hails.bound(
+        server,
+        Math.min(deps.duty.expiresAt(`row:${server.id}`), now() + REQUEST_TIMEOUT_MS),
+      );
+      if (fence === null || !bound || !deps.town.good(server.id, server.born)) return;
+      const previous = deps.sheet.rows().get(server.id)?.mark;
+      const step = previous && previous[0] === fence ? previous[1] + 1 : 0;
+      deps.world.tell({ what: 'order', server: server.id, part, fence, step });
+      const reply = await deps.back.order(
+        server.addr,
+        { fence, step, part, stage: 'serving', who: deps.self(), ...bound },
+        REQUEST_TIMEOUT_MS,
+      );
+      if (reply.ok && reply.val.born === server.born && reply.val.part === part) {
+        log.say(`Assigned ${server.id} to ${part}.`);
+        publishAssignment(fence, { server: server.id, born: server.born, part, stage: 'serving', by: deps.self() });
       }
     };
-    const probe = async (s: Listed): Promise<boolean> => {
-      probed.set(s.id, now());
-      const got = await t.hails.ask(s, ASK);
-      const well = got.ok && got.val.born === s.born;
-      misses.set(s.id, well ? 0 : (misses.get(s.id) ?? 0) + 1);
-      return well;
+    const probe = async (server: Listed): Promise<boolean> => {
+      lastProbeAt.set(server.id, now());
+      const reply = await deps.hails.ask(server, REQUEST_TIMEOUT_MS);
+      const healthy = reply.ok && reply.val.born === server.born;
+      missedProbes.set(server.id, healthy ? 0 : (missedProbes.get(server.id) ?? 0) + 1);
+      return healthy;
     };
-    const live = (): { id: string; part: SheetRow['part'] | null }[] => {
-      const rows = t.sheet.rows();
-      return t.town
+    /** Serving servers that are not marked dark, with the stage to which each is assigned. */
+    const liveServers = (): { id: string; part: SheetRow['part'] | null }[] => {
+      const rows = deps.sheet.rows();
+      return deps.town
         .all()
         .filter((s) => s.mark === 'serving')
         .flatMap((s) => {
@@ -75,71 +92,83 @@
           return [{ id: s.id, part: row ? row.part : null }];
         });
     };
-    const mind = async (s: Listed): Promise<void> => {
-      const c = t.sheet.charter(),
-        fence = t.duty.fence(`row:${s.id}`);
-      if (!c || fence === null) return;
-      const row = t.sheet.rows().get(s.id)?.row;
-      const all = live();
-      const reads = all.filter((l) => l.part === 'prefill').length,
-        writes = all.filter((l) => l.part === 'decode').length;
-      const short = reads < c.casting.floor.prefill || writes < c.casting.floor.decode;
-      const moving = [...t.sheet.rows().values()].some((r) => r.row.stage === 'draining' && r.row.server !== s.id);
-      const swaps = !moving && (short || now() - swapped > c.casting.calm);
-      const part = Target.part(c, t.sheet.mix()?.prefill ?? c.casting.prefill, all, s.id, swaps);
-      if (!row || row.born !== s.born) {
-        const first = row?.part ?? part;
-        if (first && (await probe(s))) await order(s, first);
+    /** Checks one server and moves its assignment a step towards the target. */
+    const reconcile = async (server: Listed): Promise<void> => {
+      const configuration = deps.sheet.charter(),
+        fence = deps.duty.fence(`row:${server.id}`);
+      if (!configuration || fence === null) return;
+      const row = deps.sheet.rows().get(server.id)?.row;
+      const live = liveServers();
+      const prefillCount = live.filter((l) => l.part === 'prefill').length,
+        decodeCount = live.filter((l) => l.part === 'decode').length;
+      const belowFloor =
+        prefillCount < configuration.casting.floor.prefill || decodeCount < configuration.casting.floor.decode;
+      const otherDraining = [...deps.sheet.rows().values()].some(
+        (r) => r.row.stage === 'draining' && r.row.server !== server.id,
+      );
+      const maySwitch = !otherDraining && (belowFloor || now() - lastSwitchAt > configuration.casting.calm);
+      const target = Target.part(
+        configuration,
+        deps.sheet.mix()?.prefill ?? configuration.casting.prefill,
+        live,
+        server.id,
+        maySwitch,
+      );
+      if (!row || row.born !== server.born) {
+        const initial = row?.part ?? target;
+        if (initial && (await probe(server))) await orderStage(server, initial);
         return;
       }
       if (row.stage === 'dark') {
-        if (await probe(s)) await order(s, row.part);
+        if (await probe(server)) await orderStage(server, row.part);
         return;
       }
-      const sight = t.sheet.sight(s.id),
-        missed = (misses.get(s.id) ?? 0) > 0;
-      const due = now() - (probed.get(s.id) ?? -Infinity) > PROBE;
+      const report = deps.sheet.failureReport(server.id),
+        missed = (missedProbes.get(server.id) ?? 0) > 0;
+      const probeDue = now() - (lastProbeAt.get(server.id) ?? -Infinity) > PROBE_INTERVAL_MS;
       if (
-        (sight?.born === s.born || t.suspect(s) || missed || due) &&
-        !(await probe(s)) &&
-        (misses.get(s.id) ?? 0) >= 2
+        (report?.born === server.born || deps.suspect(server) || missed || probeDue) &&
+        !(await probe(server)) &&
+        (missedProbes.get(server.id) ?? 0) >= 2
       ) {
-        log.warn(`${s.id} is dark.`);
-        write(fence, { ...row, stage: 'dark', by: t.self() });
+        log.warn(`${server.id} failed two probes in a row; marked dark.`);
+        publishAssignment(fence, { ...row, stage: 'dark', by: deps.self() });
         return;
       }
       if (row.stage === 'draining') {
-        const since = emptied.get(s.id) ?? now();
-        emptied = new Map(emptied).set(s.id, since);
-        const st = await t.hails.ask(s, ASK);
-        if (!st.ok || (st.val.busy > 0 && now() - since < EMPTY)) return;
-        const to = row.part === 'prefill' ? 'decode' : 'prefill';
-        await order(s, part !== null && now() - since >= EMPTY * 2 ? row.part : to);
-        const next = new Map(emptied);
-        next.delete(s.id);
-        emptied = next;
+        const drainStart = drainStarts.get(server.id) ?? now();
+        drainStarts = new Map(drainStarts).set(server.id, drainStart);
+        const status = await deps.hails.ask(server, REQUEST_TIMEOUT_MS);
+        if (!status.ok || (status.val.busy > 0 && now() - drainStart < DRAIN_TIMEOUT_MS)) return;
+        const otherStage = row.part === 'prefill' ? 'decode' : 'prefill';
+        // A switch that has not succeeded within twice the drain timeout is given up if there is a target.
+        await orderStage(server, target !== null && now() - drainStart >= DRAIN_TIMEOUT_MS * 2 ? row.part : otherStage);
+        const remaining = new Map(drainStarts);
+        remaining.delete(server.id);
+        drainStarts = remaining;
         return;
       }
-      if (part !== null && part !== row.part) {
-        log.say(`${s.id} is to be emptied, then to ${part}.`);
-        t.world.tell({ what: 'swap', server: s.id, part });
-        write(fence, { ...row, stage: 'draining', by: t.self() });
+      if (target !== null && target !== row.part) {
+        log.say(`Draining ${server.id} to switch it to ${target}.`);
+        deps.world.tell({ what: 'swap', server: server.id, part: target });
+        publishAssignment(fence, { ...row, stage: 'draining', by: deps.self() });
       }
     };
     return {
-      names: (): string[] => (t.sheet.charter()?.servers ?? []).map((s) => `row:${s.id}`),
-      /** Some row changed its part: the calm begins anew, whoever ordered it. */
+      /** Names of the leases needed, one per configured server. */
+      names: (): string[] => (deps.sheet.charter()?.servers ?? []).map((s) => `row:${s.id}`),
+      /** Called when a server has changed its stage: restarts the pause between switches, whoever ordered it. */
       noted(): void {
-        swapped = now();
+        lastSwitchAt = now();
       },
       async tick(): Promise<void> {
         await Promise.all(
-          t.town
+          deps.town
             .all()
-            .filter((s) => s.mark === 'serving' && !busy.has(s.id))
+            .filter((s) => s.mark === 'serving' && !inProgress.has(s.id))
             .map(async (s) => {
-              busy.add(s.id);
-              await mind(s).finally(() => busy.delete(s.id));
+              inProgress.add(s.id);
+              await reconcile(s).finally(() => inProgress.delete(s.id));
             }),
         );
       },
--- a/packages/counter/src/checkin.test.ts
+++ b/packages/counter/src/checkin.test.ts
@@ -1,33 +1,33 @@
 import { expect } from 'chai';
 import { Checkin } from './checkin.js';
 
-type Timed = { at: number; fn: () => void };
+type ScheduledCall = { at: number; fn: () => void };
 
-/** A daemon that holds version 7 and checks in when told to; the head has passed version 8. */
-const bench = (tailReplies: readonly boolean[]) => {
+/** The check-in of a daemon that has version 7, while the head of the chain already has version 8. */
+const setup = (tailReplies: readonly boolean[]) => {
   let now = 0;
   let version = 7;
-  let head: number | null = 8;
-  let timers: Timed[] = [];
+  let headVersion: number | null = 8;
+  let timers: ScheduledCall[] = [];
   const reads: number[] = [];
   const after = (ms: number, fn: () => void): (() => void) => {
-    const t = { at: now + ms, fn };
-    timers.push(t);
+    const timer = { at: now + ms, fn };
+    timers.push(timer);
     return () => {
-      timers = timers.filter((x) => x !== t);
+      timers = timers.filter((x) => x !== timer);
     };
   };
   const checkin = Checkin.make({
     clock: { mono: () => now, wall: () => now, after },
     line: {
-      checkin: () => Promise.resolve(head === null ? null : { version: head, roster: null, load: {} }),
+      checkin: () => Promise.resolve(headVersion === null ? null : { version: headVersion, roster: null, load: {} }),
     },
     sheet: { version: () => version },
     shelf: { sum: () => 's' },
     newest: {
       tail: () => {
         const replied = tailReplies[reads.push(now) - 1] ?? true;
-        if (replied) version = Math.max(version, head ?? 8);
+        if (replied) version = Math.max(version, headVersion ?? 8);
         return Promise.resolve(replied);
       },
     },
@@ -37,75 +37,75 @@
     checkin,
     reads,
     version: () => version,
-    /** Gossip brings a version. */
+    /** Simulates that gossip has brought a version. */
     gossip(v: number): void {
       version = v;
     },
-    head(v: number | null): void {
-      head = v;
+    setHead(v: number | null): void {
+      headVersion = v;
     },
-    /** Lets time go on for so long. */
-    async pass(ms: number): Promise<void> {
+    /** Advances the clock, running the timers that fall due. */
+    async advance(ms: number): Promise<void> {
       const end = now + ms;
       for (;;) {
         await new Promise((done) => setImmediate(done));
-        const first = timers.sort((a, b) => a.at - b.at)[0];
-        if (!first || first.at > end) break;
+        const nextTimer = timers.sort((a, b) => a.at - b.at)[0];
+        if (!nextTimer || nextTimer.at > end) break;
         timers.shift();
-        now = first.at;
-        first.fn();
+        now = nextTimer.at;
+        nextTimer.fn();
       }
       now = end;
     },
   };
 };
 
-describe('The check-in', () => {
-  it('reads at the tail when the time given to gossip is over, not at a later check-in', async () => {
-    const b = bench([true]);
-    await b.checkin.tick();
-    await b.pass(480);
-    await b.checkin.tick();
-    await b.pass(480);
-    expect(b.reads).to.deep.equal([600]);
-    expect(b.version()).to.equal(8);
+describe('HeadCheckIn', () => {
+  it('reads from the tail when the time given to gossip is over, not at a later check-in', async () => {
+    const s = setup([true]);
+    await s.checkin.tick();
+    await s.advance(480);
+    await s.checkin.tick();
+    await s.advance(480);
+    expect(s.reads).to.deep.equal([600]);
+    expect(s.version()).to.equal(8);
   });
-  it('reads at the tail though no later check-in is replied to', async () => {
-    const b = bench([true]);
-    await b.checkin.tick();
-    b.head(null);
-    await b.pass(1000);
-    expect(b.reads).to.deep.equal([600]);
+  it('reads from the tail even if no later check-in is answered', async () => {
+    const s = setup([true]);
+    await s.checkin.tick();
+    s.setHead(null);
+    await s.advance(1000);
+    expect(s.reads).to.deep.equal([600]);
   });
-  it('leaves it to gossip where that is in time', async () => {
-    const b = bench([true]);
-    await b.checkin.tick();
-    await b.pass(590);
-    b.gossip(8);
-    await b.pass(1000);
-    await b.checkin.tick();
-    expect(b.reads).to.deep.equal([]);
+  it('reads nothing if gossip brings the version in time', async () => {
+    const s = setup([true]);
+    await s.checkin.tick();
+    await s.advance(590);
+    s.gossip(8);
+    await s.advance(1000);
+    await s.checkin.tick();
+    expect(s.reads).to.deep.equal([]);
   });
-  it('gives gossip its time anew for each version that it brought late', async () => {
-    const b = bench([true]);
-    await b.checkin.tick();
-    await b.pass(400);
-    b.gossip(8);
-    b.head(9);
-    await b.checkin.tick();
-    await b.pass(590);
-    expect(b.reads).to.deep.equal([]);
-    await b.pass(10);
-    expect(b.reads).to.deep.equal([1000]);
+  it('gives gossip the full time again for each further version', async () => {
+    const s = setup([true]);
+    await s.checkin.tick();
+    await s.advance(400);
+    s.gossip(8);
+    s.setHead(9);
+    await s.checkin.tick();
+    await s.advance(590);
+    expect(s.reads).to.deep.equal([]);
+    await s.advance(10);
+    expect(s.reads).to.deep.equal([1000]);
   });
-  it('reads anew at the next check-in where the tail did not reply', async () => {
-    const b = bench([false, true]);
-    await b.checkin.tick();
-    await b.pass(700);
-    await b.checkin.tick();
-    await b.pass(0);
-    expect(b.reads).to.deep.equal([600, 700]);
-    await b.pass(2000);
-    expect(b.reads).to.have.length(2);
+  it('reads again at the next check-in if the tail did not reply', async () => {
+    const s = setup([false, true]);
+    await s.checkin.tick();
+    await s.advance(700);
+    await s.checkin.tick();
+    await s.advance(0);
+    expect(s.reads).to.deep.equal([600, 700]);
+    await s.advance(2000);
+    expect(s.reads).to.have.length(2);
   });
 });
--- a/packages/counter/src/checkin.ts
+++ b/packages/counter/src/checkin.ts
@@ -4,55 +4,65 @@
 import type { Newest } from './newest.js';
 import type { SheetView } from './sheetview.js';
 
+/** Weight of requests that want or use a server, by stage: `read` is prefill, `write` is decode. */
 type Load = { read: number; write: number };
-type Tools = {
+type Dependencies = {
   clock: Clock;
   line: ControlClient;
+  /** Configuration and stage assignments. */
   sheet: SheetView;
   shelf: Holding;
   newest: ReturnType<typeof Newest.make>;
   demand: () => Load;
 };
-/** ms that gossip is given for a version that the head has passed. */
-const LAG = 600;
-type Late = { want: number; since: number };
+/** Time that gossip is given to bring a configuration version that the head already has. */
+const GOSSIP_LAG_MS = 600;
+/** A version of the configuration that this daemon does not have yet, and since when it is known to be behind. */
+type Missing = { version: number; since: number };
 
 /**
- * Tells the head what this daemon holds, and learns who is live and how laden the fleet is.
- * Invariant: one that is behind for LAG reads the charter at the tail then, not at a later check-in.
+ * Periodic check-in with the head of the chain: reports what this daemon stores and its load, and learns which daemons
+ * are live and the load of the fleet. Invariant: a daemon that has been behind for GOSSIP_LAG_MS reads the
+ * configuration from the tail at that moment, not at a later check-in.
  */
 export const Checkin = {
-  make(t: Tools) {
+  make(deps: Dependencies) {
     let roster: readonly Ident[] = [];
     let load: Load = { read: 0, write: 0 };
-    let late: Late | null = null;
+    let missing: Missing | null = null;
     let reading = false;
-    const caughtUp = (): boolean => late === null || t.sheet.version() >= late.want;
-    const read = async (): Promise<void> => {
+    const caughtUp = (): boolean => missing === null || deps.sheet.version() >= missing.version;
+    const readIfBehind = async (): Promise<void> => {
       if (reading || caughtUp()) return;
-      const mine = late;
+      const wanted = missing;
       reading = true;
-      if ((await t.newest.tail(300)) && late === mine) late = null;
+      if ((await deps.newest.tail(300)) && missing === wanted) missing = null;
       reading = false;
     };
     return {
+      /** Live daemons, as of the last check-in. */
       roster: (): readonly Ident[] => roster,
+      /** Load of the whole fleet, as of the last check-in. */
       load: (): Load => load,
       async tick(): Promise<void> {
-        const got = await t.line.checkin({ version: t.sheet.version(), sum: t.shelf.sum(), load: t.demand() });
-        if (!got) return;
-        if (got.roster) roster = got.roster;
-        load = got.load;
-        if (got.version <= t.sheet.version()) {
-          late = null;
-        } else if (late === null || caughtUp()) {
-          const mine = { want: got.version, since: t.clock.mono() };
-          late = mine;
-          t.clock.after(LAG, () => {
-            if (late === mine) void read();
+        const reply = await deps.line.checkin({
+          version: deps.sheet.version(),
+          sum: deps.shelf.sum(),
+          load: deps.demand(),
+        });
+        if (!reply) return;
+        if (reply.roster) roster = reply.roster;
+        load = reply.load;
+        if (reply.version <= deps.sheet.version()) {
+          missing = null;
+        } else if (missing === null || caughtUp()) {
+          const newlyMissing = { version: reply.version, since: deps.clock.mono() };
+          missing = newlyMissing;
+          deps.clock.after(GOSSIP_LAG_MS, () => {
+            if (missing === newlyMissing) void readIfBehind();
           });
-        } else if (t.clock.mono() - late.since > LAG) {
-          await read();
+        } else if (deps.clock.mono() - missing.since > GOSSIP_LAG_MS) {
+          await readIfBehind();
         }
       },
     };
--- a/packages/counter/src/choice.ts
+++ b/packages/counter/src/choice.ts
@@ -7,53 +7,60 @@
 import type { Shuns } from './shuns.js';
 import type { TownView } from './townview.js';
 
-type Part = 'prefill' | 'decode';
-type Tools = {
+type Stage = 'prefill' | 'decode';
+type Dependencies = {
+  /** Clock offsets of the servers. */
   hails: Hailing;
+  /** Configuration and stage assignments. */
   sheet: SheetView;
+  /** Backend inventory. */
   town: TownView;
   loads: LoadBook;
   shuns: ReturnType<typeof Shuns.make>;
   roster: () => readonly Ident[];
 };
 
-/** Which server a request goes to. */
+/** Picks servers for live requests, those of callers that wait for the answer (not those of bursts on loans). */
 export const Choice = {
-  make(t: Tools) {
-    const share = (id: string): number => {
-      const slots = t.sheet.charter()?.servers.find((s) => s.id === id)?.slots ?? 1;
-      return Share.of(slots, t.roster().filter((r) => r.role === 'counter').length);
+  make(deps: Dependencies) {
+    const shareOf = (id: string): number => {
+      const slots = deps.sheet.charter()?.servers.find((s) => s.id === id)?.slots ?? 1;
+      return Share.of(slots, deps.roster().filter((r) => r.role === 'counter').length);
     };
-    const usable = (part: Part): Listed[] => {
-      const out: Listed[] = [];
-      for (const { row } of t.sheet.rows().values()) {
-        if (row.part !== part || row.stage !== 'serving') continue;
-        const s = t.town.good(row.server, row.born);
-        if (s && t.hails.known(s) && !t.shuns.has(s.id, s.born)) out.push(s);
+    /** Servers of a stage that are assigned, listed as serving, of known clock and not ejected. */
+    const usable = (stage: Stage): Listed[] => {
+      const servers: Listed[] = [];
+      for (const { row } of deps.sheet.rows().values()) {
+        if (row.part !== stage || row.stage !== 'serving') continue;
+        const server = deps.town.good(row.server, row.born);
+        if (server && deps.hails.isKnown(server) && !deps.shuns.has(server.id, server.born)) servers.push(server);
       }
-      return out;
+      return servers;
     };
-    const room = (s: Listed, rule: Rule): boolean =>
-      t.loads.at(s.id) === 0 || t.loads.at(s.id) + rule.weight <= share(s.id);
+    /** An idle server takes a request of any weight. */
+    const fits = (server: Listed, route: Rule): boolean =>
+      deps.loads.at(server.id) === 0 || deps.loads.at(server.id) + route.weight <= shareOf(server.id);
     return {
       usable,
-      /** Whether a part has room for one more, beside what is promised under the name `held`. */
-      roomy(part: Part, rule: Pick<Rule, 'weight'>, held: string): boolean {
-        const list = usable(part);
-        const used = list.reduce((a, s) => a + t.loads.at(s.id), 0) + t.loads.at(held);
-        return list.length > 0 && (used === 0 || used + rule.weight <= list.reduce((a, s) => a + share(s.id), 0));
+      /** Whether a stage has room for one more request, besides the load reserved under the key `reservedKey`. */
+      roomy(stage: Stage, route: Pick<Rule, 'weight'>, reservedKey: string): boolean {
+        const list = usable(stage);
+        const used = list.reduce((a, s) => a + deps.loads.at(s.id), 0) + deps.loads.at(reservedKey);
+        return list.length > 0 && (used === 0 || used + route.weight <= list.reduce((a, s) => a + shareOf(s.id), 0));
       },
-      /** The server most likely to hold the prefix, unless it has no room. */
-      prefill(rule: Rule, prefix: string, not: ReadonlySet<string>): Listed | null {
-        const list = usable('prefill').filter((s) => !not.has(s.id) && room(s, rule));
-        return Lot.first(`prefix:${prefix}`, list, (s) => s.id) ?? null;
+      /** The server most likely to have the prefix in its cache, among those with room. */
+      prefill(route: Rule, prefix: string, excluded: ReadonlySet<string>): Listed | null {
+        const servers = usable('prefill').filter((s) => !excluded.has(s.id) && fits(s, route));
+        return Lot.first(`prefix:${prefix}`, servers, (s) => s.id) ?? null;
       },
-      /** The least laden, with slow links weighed in. */
-      decode(rule: Rule, from: Listed, not: ReadonlySet<string>): Listed | null {
+      /** The least loaded server, where slow hand-over of the KV cache and another zone count as load. */
+      decode(route: Rule, prefillServer: Listed, excluded: ReadonlySet<string>): Listed | null {
         const cost = (s: Listed): number =>
-          t.loads.at(s.id) / share(s.id) + t.loads.link(from.id, s.id) / 400 + (s.site === from.site ? 0 : 0.05);
-        const list = usable('decode').filter((s) => !not.has(s.id) && room(s, rule));
-        return list.reduce<Listed | null>((a, b) => (a === null || cost(b) < cost(a) ? b : a), null);
+          deps.loads.at(s.id) / shareOf(s.id) +
+          deps.loads.handoverMs(prefillServer.id, s.id) / 400 +
+          (s.site === prefillServer.site ? 0 : 0.05);
+        const servers = usable('decode').filter((s) => !excluded.has(s.id) && fits(s, route));
+        return servers.reduce<Listed | null>((a, b) => (a === null || cost(b) < cost(a) ? b : a), null);
       },
     };
   },
--- a/packages/counter/src/choosing.ts
+++ b/packages/counter/src/choosing.ts
@@ -1,4 +1,4 @@
 import type { Choice } from './choice.js';
 
-/** The choice of servers, as the run of a request sees it. */
+/** Picks the server for a request at each stage. */
 export type Choosing = ReturnType<typeof Choice.make>;
--- a/packages/counter/src/control.ts
+++ b/packages/counter/src/control.ts
@@ -7,156 +7,189 @@
 import { RequestDesk } from './requestdesk.js';
 import { Wellness } from './wellness.js';
 
-type Told = { verdict: Verdict; [key: string]: unknown };
-const Named = Type.Object({ plan: Type.String({ minLength: 1, maxLength: 60 }) }, { additionalProperties: false });
-const Planned = Type.Object(
+type Answer = { verdict: Verdict; [key: string]: unknown };
+const PlanReference = Type.Object(
+  { plan: Type.String({ minLength: 1, maxLength: 60 }) },
+  { additionalProperties: false },
+);
+const PlanRequest = Type.Object(
   { charter: Type.Unknown(), id: Type.Optional(Type.String({ pattern: '^[\\w.:-]{1,60}$' })) },
   { additionalProperties: false },
 );
 
-/** What operators may ask of a daemon that serves `control`. */
+/** The operators' interface of a daemon that serves `control`: configuration plans, status and tracing. */
 export const Control = {
-  make(world: World, d: Counting) {
-    const unread = (): Told => ({ verdict: Verdicts.not('unready', 'The core does not reply; nothing was read.', 1) });
-    const settle = async (what: 'confirm' | 'drop', body: unknown): Promise<Told> => {
-      const got = Check.parse(Named, body);
-      if (got.err) return { verdict: Verdicts.bad(got.val) };
-      const { ruling } = await d.line.write({ do: what, id: got.val.plan });
-      if (ruling.version !== undefined && ruling.verdict.ran === 'yes' && ruling.version > d.sheet.version()) {
-        const now = await d.line.read(undefined, 800);
-        if (now?.charter)
-          d.purge.learn(
+  make(world: World, daemon: Counting) {
+    const noReply = (): Answer => ({
+      verdict: Verdicts.not('unready', 'The core does not reply; nothing was read.', 1),
+    });
+    /** Confirms or drops a plan. A version confirmed is stored here at once, without waiting for gossip. */
+    const resolvePlan = async (command: 'confirm' | 'drop', body: unknown): Promise<Answer> => {
+      const parsed = Check.parse(PlanReference, body);
+      if (parsed.err) return { verdict: Verdicts.bad(parsed.val) };
+      const { ruling } = await daemon.line.write({ do: command, id: parsed.val.plan });
+      if (ruling.version !== undefined && ruling.verdict.ran === 'yes' && ruling.version > daemon.sheet.version()) {
+        const latest = await daemon.line.read(undefined, 800);
+        if (latest?.charter)
+          daemon.purge.learn(
             {
               name: 'charter',
-              mark: [now.charter.version, 0],
-              body: { version: now.charter.version, plan: now.charter.plan, charter: now.charter.body },
+              mark: [latest.charter.version, 0],
+              body: { version: latest.charter.version, plan: latest.charter.plan, charter: latest.charter.body },
             },
             'tail',
           );
       }
-      return { ...ruling, plan: got.val.plan };
+      return { ...ruling, plan: parsed.val.plan };
     };
-    const ask = async (who: Ident, name: string | undefined) => {
-      const r = await d.post.ask(
-        who.addr,
-        who.id,
+    /** Asks a daemon which records it holds, and for the trace of one record if `name` is given. */
+    const requestTrace = async (ident: Ident, name: string | undefined) => {
+      const reply = await daemon.post.ask(
+        ident.addr,
+        ident.id,
         'trace.tell',
         name === undefined ? {} : { name },
         TraceDesk.forms.told,
         800,
       );
-      return { id: who.id, reached: r.ok, told: r.ok ? r.val : null };
+      return { id: ident.id, reached: reply.ok, reported: reply.ok ? reply.val : null };
     };
-    const everyone = (): Ident[] => {
-      const all = new Map<string, Ident>();
-      for (const m of d.line.view()?.chain ?? []) all.set(m.id, { ...m, site: 'core', role: 'registry' });
-      for (const r of [...d.roster(), ...d.purge.peers(), ...d.met()]) if (!all.has(r.id)) all.set(r.id, r);
-      return [...all.values()].sort((a, b) => (a.id < b.id ? -1 : 1));
+    /** The control replicas and all daemons known here, also those that answered lately but no longer do. */
+    const allDaemons = (): Ident[] => {
+      const byId = new Map<string, Ident>();
+      for (const m of daemon.line.view()?.chain ?? []) byId.set(m.id, { ...m, site: 'core', role: 'registry' });
+      for (const r of [...daemon.roster(), ...daemon.purge.peers(), ...daemon.met()])
+        if (!byId.has(r.id)) byId.set(r.id, r);
+      return [...byId.values()].sort((a, b) => (a.id < b.id ? -1 : 1));
     };
     return {
-      lending: LendingControl.make(d),
-      async plan(body: unknown): Promise<Told> {
-        const got = Check.parse(Planned, body);
-        if (got.err) return { verdict: Verdicts.bad(got.val) };
-        const will = Clauses.read(got.val.charter);
-        if (will.err) return { verdict: Verdicts.bad(will.val) };
-        const now = await d.line.read(undefined, 2500);
-        if (!now) return unread();
-        const base = now.charter?.version ?? 0;
-        const id = got.val.id ?? `p-${Dice.word(world.chance)}`;
-        const { ruling } = await d.line.write({ do: 'plan', id, base, charter: will.val });
-        const was = now.charter?.body ?? null,
-          rows = [...d.sheet.rows().values()].map((r) => r.row);
-        const said = { changes: Diff.of(was, will.val), warnings: Warnings.of(was, will.val, rows) };
-        return { ...ruling, plan: id, base, ...said };
+      lending: LendingControl.make(daemon),
+      /** Submits a configuration as a plan, and returns what it would change and what to watch out for. */
+      async plan(body: unknown): Promise<Answer> {
+        const parsed = Check.parse(PlanRequest, body);
+        if (parsed.err) return { verdict: Verdicts.bad(parsed.val) };
+        const proposed = Clauses.read(parsed.val.charter);
+        if (proposed.err) return { verdict: Verdicts.bad(proposed.val) };
+        const latest = await daemon.line.read(undefined, 2500);
+        if (!latest) return noReply();
+        const base = latest.charter?.version ?? 0;
+        const id = parsed.val.id ?? `p-${Dice.word(world.chance)}`;
+        const { ruling } = await daemon.line.write({ do: 'plan', id, base, charter: proposed.val });
+        const current = latest.charter?.body ?? null,
+          rows = [...daemon.sheet.rows().values()].map((r) => r.row);
+        const review = {
+          changes: Diff.of(current, proposed.val),
+          warnings: Warnings.of(current, proposed.val, rows),
+        };
+        return { ...ruling, plan: id, base, ...review };
       },
-      confirm: (body: unknown): Promise<Told> => settle('confirm', body),
-      drop: (body: unknown): Promise<Told> => settle('drop', body),
-      async read(): Promise<Told> {
-        const now = await d.line.read(undefined, 2500);
-        if (!now) return unread();
+      confirm: (body: unknown): Promise<Answer> => resolvePlan('confirm', body),
+      drop: (body: unknown): Promise<Answer> => resolvePlan('drop', body),
+      /** The configuration in force, read from the tail of the chain. */
+      async read(): Promise<Answer> {
+        const latest = await daemon.line.read(undefined, 2500);
+        if (!latest) return noReply();
         return {
-          verdict: Verdicts.ran('read', 'As the core has it.'),
-          version: now.charter?.version ?? 0,
-          plan: now.charter?.plan ?? null,
-          charter: now.charter?.body ?? null,
+          verdict: Verdicts.ran('read', 'As stored by the core.'),
+          version: latest.charter?.version ?? 0,
+          plan: latest.charter?.plan ?? null,
+          charter: latest.charter?.body ?? null,
         };
       },
-      async fate(plan: string): Promise<Told> {
-        const now = await d.line.read(plan, 2500);
-        if (!now) return unread();
-        if (!now.plan)
-          return { verdict: Verdicts.not('unknown', `No plan ${plan} is remembered; the latest 200 are.`) };
+      /** What became of a plan. */
+      async fate(plan: string): Promise<Answer> {
+        const latest = await daemon.line.read(plan, 2500);
+        if (!latest) return noReply();
+        if (!latest.plan)
+          return { verdict: Verdicts.not('unknown', `Plan ${plan} is not known; the latest 200 are kept.`) };
         return {
-          verdict: Verdicts.ran('read', `Plan ${plan} is ${now.plan.fate}.`),
-          fate: now.plan.fate,
-          version: now.plan.version ?? null,
-          base: now.plan.base,
+          verdict: Verdicts.ran('read', `Plan ${plan} is ${latest.plan.fate}.`),
+          fate: latest.plan.fate,
+          version: latest.plan.version ?? null,
+          base: latest.plan.base,
         };
       },
-      async status(): Promise<Told> {
-        const now = await d.line.read(undefined, 1500);
-        const rows = await Promise.all(
-          everyone().map(async (who) => {
-            const t = await ask(who, undefined);
+      /** State of the whole fleet, and its problems. */
+      async status(): Promise<Answer> {
+        const latest = await daemon.line.read(undefined, 1500);
+        const daemons = await Promise.all(
+          allDaemons().map(async (ident) => {
+            const trace = await requestTrace(ident, undefined);
             return {
-              id: who.id,
-              site: who.site,
-              role: who.role,
-              reached: t.reached,
-              sure: t.told?.sure ?? t.reached,
+              id: ident.id,
+              site: ident.site,
+              role: ident.role,
+              reached: trace.reached,
+              sure: trace.reported?.sure ?? trace.reached,
               version:
-                t.told?.sure === false ? null : (t.told?.marks.find((m) => m.name === 'charter')?.mark[0] ?? null),
+                trace.reported?.sure === false
+                  ? null
+                  : (trace.reported?.marks.find((m) => m.name === 'charter')?.mark[0] ?? null),
             };
           }),
         );
-        const sheet = [...d.sheet.rows().values()].map((r) => ({ ...r.row, mark: r.mark }));
-        const wrong = Wellness.wrong({
-          version: now ? (now.charter?.version ?? 0) : null,
-          view: d.line.view(),
-          daemons: rows,
+        const sheet = [...daemon.sheet.rows().values()].map((r) => ({ ...r.row, mark: r.mark }));
+        const wrong = Wellness.problems({
+          version: latest ? (latest.charter?.version ?? 0) : null,
+          view: daemon.line.view(),
+          daemons,
           rows: sheet,
-          charter: d.sheet.charter(),
-          listed: d.watch.young() ? d.watch.all().filter((s) => s.mark === 'serving') : null,
+          configuration: daemon.sheet.charter(),
+          listed: daemon.watch.young() ? daemon.watch.all().filter((s) => s.mark === 'serving') : null,
         });
         return {
-          verdict: Verdicts.ran('read', 'As the daemons say.'),
+          verdict: Verdicts.ran('read', 'As reported by the daemons.'),
           wrong,
-          core: now ? 'reached' : 'unreached',
-          version: now?.charter?.version ?? null,
-          view: d.line.view(),
-          daemons: rows,
+          core: latest ? 'reached' : 'unreached',
+          version: latest?.charter?.version ?? null,
+          view: daemon.line.view(),
+          daemons,
           sheet,
         };
       },
-      async trace(name: string, version: number | null): Promise<Told> {
-        const rows = await Promise.all(everyone().map((who) => ask(who, name)));
-        const told = rows.map((r) => ({
+      /** How a version of a record has reached the daemons; the newest version if `version` is null. */
+      async trace(name: string, version: number | null): Promise<Answer> {
+        const replies = await Promise.all(allDaemons().map((ident) => requestTrace(ident, name)));
+        const daemons = replies.map((r) => ({
           id: r.id,
           reached: r.reached,
-          holds: r.told?.marks.find((m) => m.name === name)?.mark ?? null,
-          steps: (r.told?.steps ?? []).filter((s) => version === null || s.mark[0] === version),
+          holds: r.reported?.marks.find((m) => m.name === name)?.mark ?? null,
+          steps: (r.reported?.steps ?? []).filter((s) => version === null || s.mark[0] === version),
         }));
-        const top = version ?? Math.max(0, ...told.map((t) => t.holds?.[0] ?? 0));
-        const met = told.some((t) => t.steps.some((s) => s.mark[0] === top) || (t.holds?.[0] ?? -1) === top);
-        if (!met) return { verdict: Verdicts.not('unknown', `No daemon has met ${name} ${version ?? ''}.`) };
-        return { verdict: Verdicts.ran('read', 'As the daemons say.'), name, version: top, daemons: told };
+        const wanted = version ?? Math.max(0, ...daemons.map((d) => d.holds?.[0] ?? 0));
+        const known = daemons.some((d) => d.steps.some((s) => s.mark[0] === wanted) || (d.holds?.[0] ?? -1) === wanted);
+        if (!known) return { verdict: Verdicts.not('unknown', `No daemon knows ${name} ${version ?? ''}.`) };
+        return { verdict: Verdicts.ran('read', 'As reported by the daemons.'), name, version: wanted, daemons };
       },
-      /** What became of a request, as every daemon knows it. */
-      async request(key: string): Promise<Told> {
-        const rows = await Promise.all(
-          everyone()
+      /** What became of a request, as each daemon knows it. */
+      async request(key: string): Promise<Answer> {
+        const daemons = await Promise.all(
+          allDaemons()
             .filter((w) => w.role === 'counter')
-            .map(async (who) => {
-              const r = await d.post.ask(who.addr, who.id, 'visit.tell', { key }, RequestDesk.forms.told, 800);
-              return { id: who.id, reached: r.ok, steps: r.ok ? r.val.steps : [], entry: r.ok ? r.val.entry : null };
+            .map(async (ident) => {
+              const reply = await daemon.post.ask(
+                ident.addr,
+                ident.id,
+                'visit.tell',
+                { key },
+                RequestDesk.forms.told,
+                800,
+              );
+              return {
+                id: ident.id,
+                reached: reply.ok,
+                steps: reply.ok ? reply.val.steps : [],
+                entry: reply.ok ? reply.val.entry : null,
+              };
             }),
         );
-        if (rows.every((r) => r.steps.length === 0 && r.entry === null))
+        if (daemons.every((r) => r.steps.length === 0 && r.entry === null))
           return { verdict: Verdicts.not('unknown', `No daemon that replied knows ${key}.`) };
-        return { verdict: Verdicts.ran('read', 'As the daemons say.'), key, daemons: rows };
+        return { verdict: Verdicts.ran('read', 'As reported by the daemons.'), key, daemons };
       },
-      held: (): CharterBody | null => (d.shelf.get('charter')?.body as CharterBody | undefined) ?? null,
+      /** The configuration record stored by this daemon. */
+      storedConfiguration: (): CharterBody | null =>
+        (daemon.shelf.get('charter')?.body as CharterBody | undefined) ?? null,
     };
   },
 };
--- a/packages/counter/src/counting.ts
+++ b/packages/counter/src/counting.ts
@@ -1,4 +1,4 @@
 import type { Counter } from './counter.js';
 
-/** A running counter daemon, as its programs see it. */
+/** A running counter daemon. */
 export type Counting = ReturnType<typeof Counter.make>;
--- a/packages/counter/src/duties.ts
+++ b/packages/counter/src/duties.ts
@@ -1,4 +1,4 @@
 import type { Duty } from './duty.js';
 
-/** The duties, as casting sees them. */
+/** The named leases held by this daemon. */
 export type Duties = ReturnType<typeof Duty.make>;
--- a/packages/counter/src/duty.test.ts
+++ b/packages/counter/src/duty.test.ts
@@ -3,18 +3,19 @@
 import { expect } from 'chai';
 import { Duty } from './duty.js';
 
-const me: Ident = { id: 'e1', born: 'b', addr: '10.0.0.1:1', site: 's', role: 'counter' };
+const self: Ident = { id: 'e1', born: 'b', addr: '10.0.0.1:1', site: 's', role: 'counter' };
+/** A reply of the control replicas to a lease request, time that passes, or an expected fencing token. */
 type Step = ['given', number] | ['held'] | ['unsure'] | ['wait', number] | ['drop'] | ['fence', number | null];
 const cases: [string, Step[]][] = [
   [
-    'the first lease ever acts at once',
+    'the first lease ever of a name is used at once',
     [
       ['given', 1],
       ['fence', 1],
     ],
   ],
   [
-    'a lease taken over waits out the quiet time',
+    'a lease taken over is used only after the takeover delay',
     [
       ['given', 2],
       ['fence', null],
@@ -28,7 +29,7 @@
     ],
   ],
   [
-    'a lease runs out unless renewed',
+    'a lease expires unless renewed',
     [
       ['given', 1],
       ['wait', 1999],
@@ -37,10 +38,10 @@
       ['fence', null],
     ],
   ],
-  ['a lease held by another gives nothing', [['held'], ['fence', null]]],
-  ['an uncertain lease gives nothing', [['unsure'], ['fence', null]]],
+  ['a lease held by another daemon gives no fencing token', [['held'], ['fence', null]]],
+  ['a lease request with an uncertain outcome gives no fencing token', [['unsure'], ['fence', null]]],
   [
-    'a renewal under the same fence waits no quiet time',
+    'a renewal under the same fencing token has no takeover delay',
     [
       ['given', 1],
       ['wait', 1500],
@@ -49,7 +50,7 @@
     ],
   ],
   [
-    'a new fence after one lost waits the quiet time',
+    'a new fencing token after an expired lease has the takeover delay',
     [
       ['given', 1],
       ['wait', 2500],
@@ -58,7 +59,7 @@
     ],
   ],
   [
-    'a daemon that slept drops its leases, and waits as for a new one',
+    'a daemon that was suspended drops its leases, and has the takeover delay again',
     [
       ['given', 2],
       ['wait', 1900],
@@ -74,40 +75,40 @@
   ],
 ];
 
-describe('Duty', () => {
+describe('LeaseManager', () => {
   for (const [name, steps] of cases) {
     it(name, async () => {
       let now = 1000;
-      let next: Step = ['held'];
+      let reply: Step = ['held'];
       const world = {
         clock: { mono: () => now, wall: () => 0, after: () => () => undefined },
         tell: () => undefined,
       } as unknown as World;
-      const line = {
+      const controlClient = {
         write: () =>
           Promise.resolve(
-            next[0] === 'given'
-              ? { ruling: { verdict: Verdicts.ran('claimed', ''), fence: next[1] }, term: 2000, sent: now }
+            reply[0] === 'given'
+              ? { ruling: { verdict: Verdicts.ran('claimed', ''), fence: reply[1] }, term: 2000, sent: now }
               : {
-                  ruling: { verdict: next[0] === 'held' ? Verdicts.not('held', '') : Verdicts.maybe('unsure', '') },
+                  ruling: { verdict: reply[0] === 'held' ? Verdicts.not('held', '') : Verdicts.maybe('unsure', '') },
                   term: 0,
                   sent: now,
                 },
           ),
       } as unknown as ControlClient;
-      const duty = Duty.make(
+      const leases = Duty.make(
         world,
-        line,
-        () => me,
-        () => [me],
+        controlClient,
+        () => self,
+        () => [self],
       );
-      for (const s of steps) {
-        if (s[0] === 'wait') now += s[1];
-        else if (s[0] === 'drop') duty.drop();
-        else if (s[0] === 'fence') expect(duty.fence('row:m1'), JSON.stringify(s)).to.equal(s[1]);
+      for (const step of steps) {
+        if (step[0] === 'wait') now += step[1];
+        else if (step[0] === 'drop') leases.drop();
+        else if (step[0] === 'fence') expect(leases.fence('row:m1'), JSON.stringify(step)).to.equal(step[1]);
         else {
-          next = s;
-          duty.tick(['row:m1']);
+          reply = step;
+          leases.tick(['row:m1']);
           for (let i = 0; i < 5; i++) await Promise.resolve();
         }
       }
--- a/packages/counter/src/duty.ts
+++ b/packages/counter/src/duty.ts
@@ -2,59 +2,63 @@
 import { Holder } from './holder.js';
 import { CoreTimings, type ControlClient } from '@pumicebarrow/registry';
 
+/** A lease as held here; `ready` is when the takeover delay ends. */
 type Held = { fence: number; until: number; ready: number };
 
 /**
- * The leases this daemon holds. Invariants: a lease counts from before it was asked for; a fence never held here
- * before waits out the quiet time, unless it is the first ever given for that name; without a live lease, no order.
+ * Obtains and renews the named leases that fall to this daemon. Invariants: a lease's term counts from before it was
+ * requested; a fencing token that is new to this daemon is used only after the takeover delay, unless it is the first
+ * ever issued for that name; without a valid lease nothing is ordered.
  */
 export const Duty = {
   make(
     world: World,
-    line: ControlClient,
+    controlClient: ControlClient,
     self: () => Ident,
     roster: () => readonly Ident[],
-    look: () => void = () => undefined,
+    checkSuspension: () => void = () => undefined,
   ) {
-    const held = new Map<string, Held>();
-    const busy = new Set<string>();
-    let slept = 0;
+    const leases = new Map<string, Held>();
+    const renewing = new Set<string>();
+    let resets = 0;
     const now = (): number => world.clock.mono();
-    const mine = (name: string): boolean => Holder.of(name, roster())?.id === self().id;
+    const isDesignated = (name: string): boolean => Holder.of(name, roster())?.id === self().id;
     const renew = async (name: string): Promise<void> => {
-      if (busy.has(name)) return;
-      busy.add(name);
-      const before = slept;
-      const got = await line.write({ do: 'claim', name, id: self().id, born: self().born }, 0);
-      busy.delete(name);
-      look();
-      if (slept !== before) return;
-      const fence = got.ruling.fence;
-      if (got.ruling.verdict.ran !== 'yes' || fence === undefined) return;
-      const old = held.get(name);
-      const ready = old?.fence === fence ? old.ready : fence === 1 ? now() : now() + CoreTimings.quiet;
-      if (old?.fence !== fence) world.tell({ what: 'claim', name, fence });
-      held.set(name, { fence, until: got.sent + got.term, ready });
+      if (renewing.has(name)) return;
+      renewing.add(name);
+      const resetsBefore = resets;
+      const reply = await controlClient.write({ do: 'claim', name, id: self().id, born: self().born }, 0);
+      renewing.delete(name);
+      checkSuspension();
+      if (resets !== resetsBefore) return;
+      const fence = reply.ruling.fence;
+      if (reply.ruling.verdict.ran !== 'yes' || fence === undefined) return;
+      const previous = leases.get(name);
+      const ready = previous?.fence === fence ? previous.ready : fence === 1 ? now() : now() + CoreTimings.quiet;
+      if (previous?.fence !== fence) world.tell({ what: 'claim', name, fence });
+      leases.set(name, { fence, until: reply.sent + reply.term, ready });
     };
     return {
+      /** Requests or renews the leases among `names` that fall to this daemon. */
       tick(names: readonly string[]): void {
         for (const name of names) {
-          const h = held.get(name);
-          if (mine(name) && (!h || h.until - now() < CoreTimings.lease * 0.7)) void renew(name);
+          const lease = leases.get(name);
+          if (isDesignated(name) && (!lease || lease.until - now() < CoreTimings.lease * 0.7)) void renew(name);
         }
       },
-      /** The fence to act under, at this instant; null when there is none. */
+      /** The fencing token under which to act at this instant; null if there is none. */
       fence(name: string): number | null {
-        look();
-        const h = held.get(name);
-        return h && h.until > now() && h.ready <= now() && mine(name) ? h.fence : null;
+        checkSuspension();
+        const lease = leases.get(name);
+        return lease && lease.until > now() && lease.ready <= now() && isDesignated(name) ? lease.fence : null;
       },
-      /** Until when the lease on a name lasts. */
-      until: (name: string): number => held.get(name)?.until ?? -Infinity,
-      names: (): string[] => [...held].filter(([, h]) => h.until > now()).map(([n]) => n),
+      /** When the lease of this name expires, in monotonic ms. */
+      expiresAt: (name: string): number => leases.get(name)?.until ?? -Infinity,
+      names: (): string[] => [...leases].filter(([, lease]) => lease.until > now()).map(([name]) => name),
+      /** Forgets all leases, also those being requested: after a suspension their remaining time is unknown. */
       drop(): void {
-        held.clear();
-        slept++;
+        leases.clear();
+        resets++;
       },
     };
   },
--- a/packages/counter/src/gauges.ts
+++ b/packages/counter/src/gauges.ts
@@ -1,30 +1,38 @@
 import type { Metering } from '@pumicebarrow/forms';
 import type { Counting } from './counting.js';
 
-/** How a counter daemon stands, read when it is asked for. */
+/** Gauges of a counter daemon, read when the metrics are scraped. */
 export const Gauges = {
-  make(meters: Metering, d: Counting, mono: () => number): void {
-    let since = mono();
-    d.shelf.heed((doc) => {
-      if (doc.name === 'charter') since = mono();
+  make(metrics: Metering, daemon: Counting, mono: () => number): void {
+    let configuredAt = mono();
+    daemon.shelf.heed((doc) => {
+      if (doc.name === 'charter') configuredAt = mono();
     });
     const tally = (list: readonly string[]): Record<string, number> => {
-      const out: Record<string, number> = {};
-      for (const k of list) out[k] = (out[k] ?? 0) + 1;
-      return out;
+      const counts: Record<string, number> = {};
+      for (const key of list) counts[key] = (counts[key] ?? 0) + 1;
+      return counts;
     };
-    meters.level('serving', '1 while this daemon lets requests in', () => (d.life() === 'serving' ? 1 : 0));
-    meters.level('charter_version', 'the charter held; none while it can not tell', () => d.version());
-    meters.level('charter_age_seconds', 'since this charter was taken in', () => (mono() - since) / 1000);
-    meters.level('list_age_seconds', "the age of the platform's list", () => d.watch.age() / 1000);
-    meters.level('visits_waiting', 'requests in the queues', () => d.waiting());
-    meters.level('visits_under_way', 'requests past their turn', () => d.under());
-    meters.level('ledger_rows', 'requests recorded here for others', () => d.ledger.size());
-    meters.level('claims_held', 'duties of this daemon', () => d.duty.names().length);
-    meters.level('extra_tries_left', 'extra tries saved up', () => d.level());
-    meters.levels('servers', 'rows of the casting sheet, by stage', 'stage', () =>
-      tally([...d.sheet.rows().values()].map((r) => r.row.stage)),
+    metrics.level('serving', '1 while this daemon accepts requests', () => (daemon.life() === 'serving' ? 1 : 0));
+    metrics.level(
+      'charter_version',
+      'version of the configuration held; absent while it is not known to be current',
+      () => daemon.version(),
     );
-    meters.levels('purge', 'what gossip has done since the start', 'what', () => d.purge.count());
+    metrics.level(
+      'charter_age_seconds',
+      'time since this configuration was received',
+      () => (mono() - configuredAt) / 1000,
+    );
+    metrics.level('list_age_seconds', "age of the platform's list of servers", () => daemon.watch.age() / 1000);
+    metrics.level('visits_waiting', 'requests queued for admission', () => daemon.waiting());
+    metrics.level('visits_under_way', 'admitted requests in flight', () => daemon.under());
+    metrics.level('ledger_rows', 'requests recorded here on behalf of other daemons', () => daemon.ledger.size());
+    metrics.level('claims_held', 'named leases held by this daemon', () => daemon.duty.names().length);
+    metrics.level('extra_tries_left', 'tokens left in the retry budget', () => daemon.level());
+    metrics.levels('servers', 'stage assignments, by state', 'stage', () =>
+      tally([...daemon.sheet.rows().values()].map((r) => r.row.stage)),
+    );
+    metrics.levels('purge', 'gossip events since the start', 'what', () => daemon.purge.count());
   },
 };
--- a/packages/counter/src/hails.test.ts
+++ b/packages/counter/src/hails.test.ts
@@ -4,7 +4,7 @@
 import { Hails } from './hails.js';
 import type { Listed } from './listed.js';
 
-const m1: Listed = { id: 'm1', addr: '10.0.0.9:1', site: 's', born: 'one', mark: 'serving' };
+const server: Listed = { id: 'm1', addr: '10.0.0.9:1', site: 's', born: 'one', mark: 'serving' };
 type Step =
   | ['hail', { clock: number; born?: string; takes?: number }]
   | ['silent']
@@ -12,23 +12,23 @@
   | ['drop']
   | ['bound', number, number | null];
 const cases: [string, Step[]][] = [
-  ['nothing is sent before a first exchange', [['bound', 2000, null]]],
+  ['there is no bound before the first reading', [['bound', 2000, null]]],
   [
-    "a bound is our own, on the server's clock",
+    "a bound is the daemon's deadline translated to the server's clock",
     [
       ['hail', { clock: 50 }],
       ['bound', 3000, 2050],
     ],
   ],
   [
-    'the time a reply took makes the bound earlier, never later',
+    'the delay of a reply makes the bound earlier, never later',
     [
       ['hail', { clock: 50, takes: 300 }],
       ['bound', 3000, 1750],
     ],
   ],
   [
-    'an exchange long ago bounds as well as a new one',
+    'an old reading translates a deadline as well as a new one',
     [
       ['hail', { clock: 50 }],
       ['wait', 9000],
@@ -36,7 +36,7 @@
     ],
   ],
   [
-    'a bound that has gone by is none',
+    'a deadline that has passed gives no bound',
     [
       ['hail', { clock: 50 }],
       ['wait', 900],
@@ -44,16 +44,19 @@
     ],
   ],
   [
-    'an exchange with another life is none',
+    'a reading of another incarnation gives no bound',
     [
       ['hail', { clock: 50, born: 'two' }],
       ['bound', 3000, null],
     ],
   ],
-  ['one that does not reply leaves what was known', [['hail', { clock: 50 }], ['silent'], ['bound', 3000, 2050]]],
-  ['after a sleep nothing is known', [['hail', { clock: 50 }], ['drop'], ['bound', 3000, null]]],
   [
-    'half a minute without a word is too long',
+    'a probe without a reply leaves the last reading in force',
+    [['hail', { clock: 50 }], ['silent'], ['bound', 3000, 2050]],
+  ],
+  ['after a suspension no reading is valid', [['hail', { clock: 50 }], ['drop'], ['bound', 3000, null]]],
+  [
+    'a reading expires after half a minute',
     [
       ['hail', { clock: 50 }],
       ['wait', 30_000],
@@ -62,57 +65,66 @@
   ],
 ];
 
-describe('Hails', () => {
+describe('ServerClockTable', () => {
   for (const [name, steps] of cases) {
     it(name, async () => {
       let now = 1000;
-      let next: Step = ['silent'];
+      let reply: Step = ['silent'];
       const clock: Clock = { mono: () => now, wall: () => 0, after: () => () => undefined };
       const back = {
         state: () => {
-          if (next[0] !== 'hail') return Promise.resolve(Err({ ran: 'maybe', code: 'broken', dark: true, why: '' }));
-          now += next[1].takes ?? 0;
-          const born = next[1].born ?? 'one';
+          if (reply[0] !== 'hail') return Promise.resolve(Err({ ran: 'maybe', code: 'broken', dark: true, why: '' }));
+          now += reply[1].takes ?? 0;
+          const incarnation = reply[1].born ?? 'one';
           return Promise.resolve(
-            Ok({ id: 'm1', born, part: 'none', stage: 'serving', fence: 0, step: 0, busy: 0, clock: next[1].clock }),
+            Ok({
+              id: 'm1',
+              born: incarnation,
+              part: 'none',
+              stage: 'serving',
+              fence: 0,
+              step: 0,
+              busy: 0,
+              clock: reply[1].clock,
+            }),
           );
         },
       } as unknown as Back;
-      const hails = Hails.make(
+      const clocks = Hails.make(
         clock,
         back,
-        () => [m1],
+        () => [server],
         () => undefined,
       );
-      for (const s of steps) {
-        if (s[0] === 'wait') now += s[1];
-        else if (s[0] === 'drop') hails.drop();
-        else if (s[0] === 'bound') expect(hails.bound(m1, s[1])?.by ?? null).to.equal(s[2]);
+      for (const step of steps) {
+        if (step[0] === 'wait') now += step[1];
+        else if (step[0] === 'drop') clocks.drop();
+        else if (step[0] === 'bound') expect(clocks.bound(server, step[1])?.by ?? null).to.equal(step[2]);
         else {
-          next = s;
-          await hails.ask(m1, 500);
+          reply = step;
+          await clocks.ask(server, 500);
         }
       }
     });
   }
-  it('an exchange that a sleep fell into counts for nothing', async () => {
-    let free: (v: unknown) => void = () => undefined;
+  it('a probe during which the daemon was suspended is ignored', async () => {
+    let answer: (v: unknown) => void = () => undefined;
     const back = {
       state: () =>
         new Promise((done) => {
-          free = done;
+          answer = done;
         }),
     } as unknown as Back;
-    const hails = Hails.make(
+    const clocks = Hails.make(
       { mono: () => 0, wall: () => 0, after: () => () => undefined },
       back,
-      () => [m1],
+      () => [server],
       () => undefined,
     );
-    const job = hails.ask(m1, 500);
-    hails.drop();
-    free(Ok({ id: 'm1', born: 'one', part: 'none', stage: 'serving', fence: 0, step: 0, busy: 0, clock: 5 }));
-    await job;
-    expect(hails.known(m1)).to.equal(false);
+    const probe = clocks.ask(server, 500);
+    clocks.drop();
+    answer(Ok({ id: 'm1', born: 'one', part: 'none', stage: 'serving', fence: 0, step: 0, busy: 0, clock: 5 }));
+    await probe;
+    expect(clocks.isKnown(server)).to.equal(false);
   });
 });
--- a/packages/counter/src/hails.ts
+++ b/packages/counter/src/hails.ts
@@ -5,68 +5,77 @@
 import type { Bound } from './bound.js';
 import type { Listed } from './listed.js';
 
-type Seen = { born: string; clock: number; at: number };
-const TICK = 200;
-const AGAIN = 3000;
-const LONGEST = 30_000;
-const ASK = 500;
+/** A reading of a server's clock; `at` is when its reply arrived here, on this daemon's monotonic clock. */
+type Reading = { born: string; clock: number; at: number };
+const TICK_MS = 200;
+const REFRESH_MS = 3000;
+const MAX_AGE_MS = 30_000;
+const REQUEST_TIMEOUT_MS = 500;
 
 /**
- * What is known of each server's own clock, from the last exchange with it.
- * Invariants: `at` is no earlier than the instant at which the server read `clock`, so a bound that is counted from
- * the two is never later than it was meant to be; after a sleep nothing is known until the next exchange.
+ * The latest reading of each server's own clock, by which deadlines of this daemon are translated to that clock.
+ * Invariants: `at` is no earlier than the instant at which the server read `clock`, so a translated deadline is never
+ * later than intended; after a suspension of this daemon no reading is valid until the next exchange.
  */
 export const Hails = {
-  make(clock: Clock, back: Back, listed: () => readonly Listed[], look: () => void) {
-    let book: ReadonlyMap<string, Seen> = new Map();
-    const busy = new Set<string>();
-    let dropped = 0;
+  make(clock: Clock, back: Back, listed: () => readonly Listed[], checkSuspension: () => void) {
+    let readings: ReadonlyMap<string, Reading> = new Map();
+    const probing = new Set<string>();
+    let resets = 0;
     let stop: () => void = () => undefined;
-    const get = (s: Listed): Seen | null => {
-      const h = book.get(s.id);
-      return h && h.born === s.born && clock.mono() - h.at < LONGEST ? h : null;
+    const validReading = (server: Listed): Reading | null => {
+      const reading = readings.get(server.id);
+      return reading && reading.born === server.born && clock.mono() - reading.at < MAX_AGE_MS ? reading : null;
     };
-    const ask = async (s: Listed, ms: number): Promise<Result<BackState, BackFault>> => {
-      const before = dropped,
-        got = await back.state(s.addr, ms);
-      look();
-      if (got.ok && before === dropped)
-        book = new Map(book).set(s.id, { born: got.val.born, clock: got.val.clock, at: clock.mono() });
-      return got;
+    const probe = async (server: Listed, timeoutMs: number): Promise<Result<BackState, BackFault>> => {
+      const resetsBefore = resets,
+        reply = await back.state(server.addr, timeoutMs);
+      checkSuspension();
+      if (reply.ok && resetsBefore === resets)
+        readings = new Map(readings).set(server.id, {
+          born: reply.val.born,
+          clock: reply.val.clock,
+          at: clock.mono(),
+        });
+      return reply;
     };
-    const hail = async (s: Listed): Promise<void> => {
-      if (busy.has(s.id)) return;
-      busy.add(s.id);
-      await ask(s, ASK);
-      busy.delete(s.id);
+    const refresh = async (server: Listed): Promise<void> => {
+      if (probing.has(server.id)) return;
+      probing.add(server.id);
+      await probe(server, REQUEST_TIMEOUT_MS);
+      probing.delete(server.id);
     };
+    /** Probes the servers whose reading is missing or due; forgets the servers that are no longer listed. */
     const tick = (): void => {
-      const all = listed();
-      if (book.size > all.length) book = new Map([...book].filter(([id]) => all.some((s) => s.id === id)));
-      for (const s of all) {
-        const h = get(s);
-        if (s.mark === 'serving' && (!h || clock.mono() - h.at > AGAIN)) void hail(s);
+      const servers = listed();
+      if (readings.size > servers.length)
+        readings = new Map([...readings].filter(([id]) => servers.some((s) => s.id === id)));
+      for (const server of servers) {
+        const reading = validReading(server);
+        if (server.mark === 'serving' && (!reading || clock.mono() - reading.at > REFRESH_MS)) void refresh(server);
       }
     };
     return {
       start(): void {
-        stop = Timer.every(clock, TICK, tick);
+        stop = Timer.every(clock, TICK_MS, tick);
       },
       stop(): void {
         stop();
       },
       tick,
-      ask,
+      /** Asks a server for its state, and records its clock. */
+      ask: probe,
+      /** Forgets all readings, also those under way. */
       drop(): void {
-        book = new Map();
-        dropped++;
+        readings = new Map();
+        resets++;
       },
-      known: (s: Listed): boolean => get(s) !== null,
-      /** The bound for a send that must not take hold after `until`, on our clock; null when none can be set. */
-      bound(s: Listed, until: number): Bound | null {
-        look();
-        const h = get(s);
-        return h && until > clock.mono() ? { born: s.born, by: h.clock + (until - h.at) } : null;
+      isKnown: (server: Listed): boolean => validReading(server) !== null,
+      /** The bound of a request that must not start after `until` on this daemon's clock; null if there is none. */
+      bound(server: Listed, until: number): Bound | null {
+        checkSuspension();
+        const reading = validReading(server);
+        return reading && until > clock.mono() ? { born: server.born, by: reading.clock + (until - reading.at) } : null;
       },
     };
   },
--- a/packages/counter/src/holder.ts
+++ b/packages/counter/src/holder.ts
@@ -1,10 +1,13 @@
 import { Lot, type Ident } from '@pumicebarrow/forms';
 
-/** Which of the live counter daemons has the duty of a name. Invariant: all that see the same roster name the same. */
+/**
+ * Which of the live counter daemons should hold a named lease, by rendezvous hashing. Invariant: daemons with the same
+ * roster come to the same result.
+ */
 export const Holder = {
-  of: (name: string, roster: readonly Ident[]): Ident | null =>
+  of: (leaseName: string, roster: readonly Ident[]): Ident | null =>
     Lot.first(
-      name,
+      leaseName,
       roster.filter((r) => r.role === 'counter'),
       (r) => r.id,
     ) ?? null,
--- a/packages/counter/src/httptown.ts
+++ b/packages/counter/src/httptown.ts
@@ -4,24 +4,24 @@
 import type { Town } from './town.js';
 import { TownList } from './townlist.js';
 
-const MOST = 1024 * 1024;
+const MAX_BODY_BYTES = 1024 * 1024;
 
-/** The platform's list over HTTP. */
+/** Fetches the platform's list of servers over HTTP. */
 export const HttpTown = {
   make(addr: string): Town & { close(): Promise<void> } {
     const agent = new Agent({ connect: { timeout: 300 }, connections: 2 });
     return {
       async poll() {
         try {
-          const r = await call(`http://${addr}/list`, {
+          const response = await call(`http://${addr}/list`, {
             dispatcher: agent,
             headersTimeout: 600,
             bodyTimeout: 600,
             signal: AbortSignal.timeout(900),
           });
-          const got = await BodyReader.json(r.body, MOST);
-          const seen = r.statusCode === 200 && got.ok ? Check.parse(TownList, got.val) : null;
-          return seen?.ok ? Ok(seen.val) : Err('the list does not fit');
+          const body = await BodyReader.json(response.body, MAX_BODY_BYTES);
+          const parsed = response.statusCode === 200 && body.ok ? Check.parse(TownList, body.val) : null;
+          return parsed?.ok ? Ok(parsed.val) : Err("the platform's reply is not a valid list of servers");
         } catch (e) {
           return Err(e instanceof Error ? e.message : String(e));
         }
--- a/packages/counter/src/lending/borrower.ts
+++ b/packages/counter/src/lending/borrower.ts
@@ -4,99 +4,123 @@
 import type { TownView } from '../townview.js';
 import { LoanWords } from './loanwords.js';
 
-type Tools = {
+type Dependencies = {
   world: World;
   post: PostBox;
+  /** Configuration and stage assignments. */
   sheet: SheetView;
+  /** Backend inventory. */
   town: TownView;
   roster: () => readonly Ident[];
-  running: (server: string) => number;
-  look: () => void;
-  /** What goes back to its burst when a loan has ended. */
-  ended: () => void;
+  /** Weight of the borrowed requests that run at a server. */
+  runningWeight: (server: string) => number;
+  checkSuspension: () => void;
+  /** Called when a loan has ended: requests that still wait for it go back to their burst. */
+  onLoanEnded: () => void;
 };
 type Lease = { born: string; slots: number; until: number };
+/** The earliest burst with work; `order` is its place among all bursts. */
 type Need = { burst: string; order: number };
 
-const ASK = 400;
-const CALM = 1000;
-/** A loan is asked for again once this share of it is left. */
-const AGAIN = 0.6;
+const REQUEST_TIMEOUT_MS = 400;
+/** Pause before a server is requested again after its loan was recalled. */
+const RECALL_COOLDOWN_MS = 1000;
+/** A loan is renewed once less than this fraction of its term is left. */
+const RENEWAL_FRACTION = 0.6;
 
 /**
- * The leases that this daemon borrows under. Invariants: a lease counts from before it was asked for, so it ends here
- * before it does at its lender; one that was recalled, refused, or slept through is gone at once.
+ * Borrows servers for bursts, each under a lease. Invariants: a lease counts from before it was requested, so it ends
+ * here before it ends at the lender; a lease that was recalled or refused, or during which this daemon was suspended,
+ * ends at once.
  */
 export const Borrower = {
-  make(t: Tools) {
+  make(deps: Dependencies) {
     let leases: ReadonlyMap<string, Lease> = new Map();
-    const busy = new Set<string>();
-    const calm = new Map<string, number>();
-    let slept = 0;
-    const now = (): number => t.world.clock.mono();
-    const without = (server: string): boolean => {
+    const requesting = new Set<string>();
+    const cooldownUntil = new Map<string, number>();
+    let resets = 0;
+    const now = (): number => deps.world.clock.mono();
+    const remove = (server: string): boolean => {
       if (!leases.has(server)) return false;
-      const next = new Map(leases);
-      next.delete(server);
-      leases = next;
+      const remaining = new Map(leases);
+      remaining.delete(server);
+      leases = remaining;
       return true;
     };
-    const lender = (server: string): Ident | null => Holder.of(`row:${server}`, t.roster());
-    const lease = (server: string, born: string): Lease | null => {
-      t.look();
-      const l = leases.get(server);
-      return l && l.born === born && l.until > now() ? l : null;
+    const lenderOf = (server: string): Ident | null => Holder.of(`row:${server}`, deps.roster());
+    const lease = (server: string, incarnation: string): Lease | null => {
+      deps.checkSuspension();
+      const held = leases.get(server);
+      return held && held.born === incarnation && held.until > now() ? held : null;
     };
-    const ask = async (server: string, born: string, need: Need): Promise<void> => {
-      const who = lender(server);
-      if (!who || busy.has(server)) return;
-      busy.add(server);
-      const sent = now(),
-        before = slept;
-      const body = { server, born, ...need };
-      const r = await t.post.ask(who.addr, who.id, 'loan.ask', body, LoanWords.asked, ASK);
-      busy.delete(server);
-      t.look();
-      if (!r.ok || before !== slept || (calm.get(server) ?? 0) > now()) return;
-      if (!r.val.ok) {
-        if (without(server)) t.ended();
+    const requestLoan = async (server: string, incarnation: string, need: Need): Promise<void> => {
+      const lender = lenderOf(server);
+      if (!lender || requesting.has(server)) return;
+      requesting.add(server);
+      const sentAt = now(),
+        resetsBefore = resets;
+      const body = { server, born: incarnation, ...need };
+      const reply = await deps.post.ask(
+        lender.addr,
+        lender.id,
+        'loan.ask',
+        body,
+        LoanWords.askReply,
+        REQUEST_TIMEOUT_MS,
+      );
+      requesting.delete(server);
+      deps.checkSuspension();
+      if (!reply.ok || resetsBefore !== resets || (cooldownUntil.get(server) ?? 0) > now()) return;
+      if (!reply.val.ok) {
+        if (remove(server)) deps.onLoanEnded();
         return;
       }
-      leases = new Map(leases).set(server, { born, slots: r.val.slots, until: sent + r.val.term });
+      leases = new Map(leases).set(server, {
+        born: incarnation,
+        slots: reply.val.slots,
+        until: sentAt + reply.val.term,
+      });
     };
-    const give = (server: string): void => {
-      const who = lender(server);
-      if (!without(server) || !who) return;
-      const body = { server, running: t.running(server) };
-      void t.post.ask(who.addr, who.id, 'loan.give', body, LoanWords.done, ASK);
+    const giveBack = (server: string): void => {
+      const lender = lenderOf(server);
+      if (!remove(server) || !lender) return;
+      const body = { server, running: deps.runningWeight(server) };
+      void deps.post.ask(lender.addr, lender.id, 'loan.give', body, LoanWords.giveReply, REQUEST_TIMEOUT_MS);
     };
     const recalled = (server: string): boolean => {
-      calm.set(server, now() + CALM);
-      const had = without(server);
-      if (had) t.ended();
-      return had;
+      cooldownUntil.set(server, now() + RECALL_COOLDOWN_MS);
+      const hadLease = remove(server);
+      if (hadLease) deps.onLoanEnded();
+      return hadLease;
     };
     return {
+      /** The valid lease on this incarnation of a server. */
       lease,
+      /** Ends the lease on a server at its lender's request; true if there was one. */
       recalled,
-      slots: (server: string, born: string): number => lease(server, born)?.slots ?? 0,
+      slots: (server: string, incarnation: string): number => lease(server, incarnation)?.slots ?? 0,
       count: (): number => [...leases.values()].filter((l) => l.until > now()).length,
-      drop(): void {
-        slept++;
+      /** Forgets all leases, also those being requested: after a suspension their remaining time is unknown. */
+      forgetAll(): void {
+        resets++;
         leases = new Map();
       },
-      /** Asks for what is needed; gives all back where nothing is. */
-      tick(need: Need | null, term: number): void {
-        for (const [server, l] of leases) if (l.until <= now() && without(server)) t.ended();
+      /** Requests and renews loans while there is need of them; gives all back otherwise. */
+      tick(need: Need | null, termMs: number): void {
+        for (const [server, held] of leases) if (held.until <= now() && remove(server)) deps.onLoanEnded();
         if (!need) {
-          for (const server of leases.keys()) give(server);
+          for (const server of leases.keys()) giveBack(server);
           return;
         }
-        for (const { row } of t.sheet.rows().values()) {
-          const l = leases.get(row.server);
-          if (row.stage !== 'serving' || !t.town.good(row.server, row.born) || (calm.get(row.server) ?? 0) > now())
+        for (const { row } of deps.sheet.rows().values()) {
+          const held = leases.get(row.server);
+          if (
+            row.stage !== 'serving' ||
+            !deps.town.good(row.server, row.born) ||
+            (cooldownUntil.get(row.server) ?? 0) > now()
+          )
             continue;
-          if (!l || l.until - now() < term * AGAIN) void ask(row.server, row.born, need);
+          if (!held || held.until - now() < termMs * RENEWAL_FRACTION) void requestLoan(row.server, row.born, need);
         }
       },
     };
--- a/packages/counter/src/lending/lender.test.ts
+++ b/packages/counter/src/lending/lender.test.ts
@@ -3,27 +3,29 @@
 import { expect } from 'chai';
 import { Lender } from './lender.js';
 
-const charter: Charter = {
+const configuration: Charter = {
   sites: ['s'],
   rules: [],
   servers: ['m1', 'm2'].map((id) => ({ id, site: 's', part: 'either' as const, slots: 8 })),
   casting: { prefill: 1, floor: { prefill: 1, decode: 1 }, swing: false, calm: 1000 },
   lending: { rules: ['rollout'], most: { prefill: 0.5, decode: 0.5 }, keep: { prefill: 0, decode: 2 }, length: 2000 },
 };
-const who = (id: string): Ident => ({ id, born: 'b', addr: `10.0.0.${id.slice(1)}:1`, site: 's', role: 'counter' });
+const daemon = (id: string): Ident => ({ id, born: 'b', addr: `10.0.0.${id.slice(1)}:1`, site: 's', role: 'counter' });
 
-const rig = () => {
+/** A lender of one server with a simulated clock, whose handlers are called directly. */
+const setup = () => {
   let now = 0;
-  const desks = new Map<string, (body: unknown, from: Ident) => unknown>();
+  const handlers = new Map<string, (body: unknown, from: Ident) => unknown>();
   const docs = new Map<string, Doc>();
-  const mails: string[] = [];
-  const is = { fence: 3 as number | null, load: 0, reached: true, running: 0 };
+  const messages: string[] = [];
+  const state = { fence: 3 as number | null, decodeLoad: 0, holderReachable: true, running: 0 };
   const row: SheetRow = { server: 'm2', born: 'x', part: 'decode', stage: 'serving', by: 'e9' };
   const post = {
-    on: (kind: string, _form: unknown, fn: (body: unknown, from: Ident) => unknown) => void desks.set(kind, fn),
+    on: (kind: string, _schema: unknown, handler: (body: unknown, from: Ident) => unknown) =>
+      void handlers.set(kind, handler),
     ask: (addr: string, _id: string, kind: string) => {
-      mails.push(`${kind} ${addr}`);
-      return Promise.resolve(is.reached ? Ok({ ok: true, running: is.running }) : Err('lost'));
+      messages.push(`${kind} ${addr}`);
+      return Promise.resolve(state.holderReachable ? Ok({ ok: true, running: state.running }) : Err('lost'));
     },
   } as unknown as PostBox;
   const loan = (): Loan | null => (docs.get('loan:m2')?.body as Loan | undefined) ?? null;
@@ -32,27 +34,27 @@
     post,
     loan,
     sheet: {
-      charter: () => charter,
+      charter: () => configuration,
       rows: () => new Map([['m2', { row, mark: [3, 0] }]]),
-      mark: (name: string) => docs.get(name)?.mark ?? null,
+      stamp: (name: string) => docs.get(name)?.mark ?? null,
     } as never,
     town: { good: () => ({}) } as never,
-    duty: { fence: () => is.fence } as never,
+    duty: { fence: () => state.fence } as never,
     purge: { publish: (d: Doc) => docs.set(d.name, d) !== undefined } as never,
-    load: () => ({ read: 0, write: is.load }),
+    load: () => ({ read: 0, write: state.decodeLoad }),
     self: () => 'e9',
   });
   const ask = (id: string, order = 1): string => {
-    const r = desks.get('loan.ask')!({ server: 'm2', born: 'x', burst: `b${order}`, order }, who(id)) as {
+    const reply = handlers.get('loan.ask')!({ server: 'm2', born: 'x', burst: `b${order}`, order }, daemon(id)) as {
       ok: boolean;
       slots: number;
       why: string;
     };
-    return r.ok ? `lent ${r.slots}` : r.why;
+    return reply.ok ? `lent ${reply.slots}` : reply.why;
   };
   return {
-    ...{ lender, ask, is, loan, mails },
-    give: (id: string): unknown => desks.get('loan.give')!({ server: 'm2', running: 0 }, who(id)),
+    ...{ lender, ask, state, loan, messages },
+    give: (id: string): unknown => handlers.get('loan.give')!({ server: 'm2', running: 0 }, daemon(id)),
     mark: () => docs.get('loan:m2')?.mark,
     wait: (ms: number): void => {
       now += ms;
@@ -61,114 +63,114 @@
   };
 };
 
-describe('The lender of a server', () => {
-  it('lends what the clause and the load leave, and tells of it once', () => {
-    const r = rig();
-    expect(r.ask('e1')).to.equal('lent 4');
-    expect(r.loan()).to.include({ holder: 'e1', slots: 4, burst: 'b1', why: 'lent', by: 'e9' });
-    const mark = r.mark();
-    expect(r.ask('e1')).to.equal('lent 4');
-    expect(r.mark()).to.equal(mark);
-    r.is.load = 5;
-    expect(r.ask('e1')).to.equal('lent 1');
+describe('Lender', () => {
+  it('lends what the configured limits and the load leave, and publishes each loan once', () => {
+    const s = setup();
+    expect(s.ask('e1')).to.equal('lent 4');
+    expect(s.loan()).to.include({ holder: 'e1', slots: 4, burst: 'b1', why: 'lent', by: 'e9' });
+    const mark = s.mark();
+    expect(s.ask('e1')).to.equal('lent 4');
+    expect(s.mark()).to.equal(mark);
+    s.state.decodeLoad = 5;
+    expect(s.ask('e1')).to.equal('lent 1');
   });
-  it('counts on what was begun for one that was called back and never replied, also after its lease', async () => {
-    const r = rig();
-    r.is.reached = false;
-    expect(r.ask('e1')).to.equal('lent 4');
-    r.lender.recalled('m2');
-    await r.settle();
-    r.wait(2300);
-    r.lender.tick();
-    expect(r.ask('e2')).to.equal('nothing');
-    r.wait(6100);
-    expect(r.ask('e2')).to.equal('lent 4');
+  it('counts the requests of a recalled holder that never replied as running, also after its lease has ended', async () => {
+    const s = setup();
+    s.state.holderReachable = false;
+    expect(s.ask('e1')).to.equal('lent 4');
+    s.lender.recall('m2');
+    await s.settle();
+    s.wait(2300);
+    s.lender.tick();
+    expect(s.ask('e2')).to.equal('nothing');
+    s.wait(6100);
+    expect(s.ask('e2')).to.equal('lent 4');
   });
-  it('lends nothing without a live fence', () => {
-    const r = rig();
-    r.is.fence = null;
-    expect(r.ask('e1')).to.equal('notmine');
-    expect(r.loan()).to.equal(null);
+  it('lends nothing without a valid fencing token', () => {
+    const s = setup();
+    s.state.fence = null;
+    expect(s.ask('e1')).to.equal('notmine');
+    expect(s.loan()).to.equal(null);
   });
-  it('has one holder, until the lease is past by its own clock', () => {
-    const r = rig();
-    r.ask('e1');
-    expect(r.ask('e2', 1)).to.equal('held');
-    r.wait(2100);
-    expect(r.ask('e2', 1)).to.equal('held');
-    r.wait(150);
-    r.lender.tick();
-    expect(r.loan()).to.include({ slots: 0, why: 'lapsed', holder: 'e1' });
-    r.wait(6100);
-    expect(r.ask('e2', 1)).to.equal('lent 4');
+  it('has one holder, until the lease has ended by the clock of the lender', () => {
+    const s = setup();
+    s.ask('e1');
+    expect(s.ask('e2', 1)).to.equal('held');
+    s.wait(2100);
+    expect(s.ask('e2', 1)).to.equal('held');
+    s.wait(150);
+    s.lender.tick();
+    expect(s.loan()).to.include({ slots: 0, why: 'lapsed', holder: 'e1' });
+    s.wait(6100);
+    expect(s.ask('e2', 1)).to.equal('lent 4');
   });
-  it('counts what may still run for a holder that has gone', () => {
-    const r = rig();
-    r.ask('e1');
-    r.wait(2300);
-    r.lender.tick();
-    expect(r.ask('e2', 1)).to.equal('nothing');
+  it('counts requests that may still run for a holder that has gone', () => {
+    const s = setup();
+    s.ask('e1');
+    s.wait(2300);
+    s.lender.tick();
+    expect(s.ask('e2', 1)).to.equal('nothing');
   });
-  it('does so, and tells that the loan ran out, also when another asks before it has looked', () => {
-    const r = rig();
-    r.ask('e1');
-    r.wait(2300);
-    expect(r.ask('e2', 1)).to.equal('nothing');
-    expect(r.loan()).to.include({ slots: 0, why: 'lapsed', holder: 'e1' });
+  it('also does so, and publishes the expiry, if another daemon requests the server before the next tick', () => {
+    const s = setup();
+    s.ask('e1');
+    s.wait(2300);
+    expect(s.ask('e2', 1)).to.equal('nothing');
+    expect(s.loan()).to.include({ slots: 0, why: 'lapsed', holder: 'e1' });
   });
-  it('gives another the server at once when it was given back with nothing running', () => {
-    const r = rig();
-    r.ask('e1');
-    r.give('e2');
-    expect(r.ask('e2', 1)).to.equal('held');
-    r.give('e1');
-    expect(r.loan()).to.include({ slots: 0, why: 'given' });
-    expect(r.ask('e2', 1)).to.equal('lent 4');
+  it('lends to another daemon at once a server that was given back with nothing running', () => {
+    const s = setup();
+    s.ask('e1');
+    s.give('e2');
+    expect(s.ask('e2', 1)).to.equal('held');
+    s.give('e1');
+    expect(s.loan()).to.include({ slots: 0, why: 'given' });
+    expect(s.ask('e2', 1)).to.equal('lent 4');
   });
-  it('renews no later burst while an earlier one asks', () => {
-    const r = rig();
-    r.ask('e1', 2);
-    expect(r.ask('e2', 1)).to.equal('held');
-    expect(r.ask('e1', 2)).to.equal('older');
-    r.give('e1');
-    expect(r.ask('e1', 2)).to.equal('older');
-    expect(r.ask('e2', 1)).to.equal('lent 4');
-    r.give('e2');
-    r.wait(1100);
-    expect(r.ask('e1', 2)).to.equal('lent 4');
+  it('renews no loan for a later burst while an earlier one requests the server', () => {
+    const s = setup();
+    s.ask('e1', 2);
+    expect(s.ask('e2', 1)).to.equal('held');
+    expect(s.ask('e1', 2)).to.equal('older');
+    s.give('e1');
+    expect(s.ask('e1', 2)).to.equal('older');
+    expect(s.ask('e2', 1)).to.equal('lent 4');
+    s.give('e2');
+    s.wait(1100);
+    expect(s.ask('e1', 2)).to.equal('lent 4');
   });
-  it('calls back at once, says so to the holder, and lends nothing for a while', async () => {
-    const r = rig();
-    r.ask('e1');
-    r.lender.recalled('m2');
-    expect(r.mails).to.deep.equal(['loan.recall 10.0.0.1:1']);
-    expect(r.loan()).to.include({ slots: 0, why: 'live' });
-    await r.settle();
-    expect(r.ask('e1')).to.equal('nothing');
-    r.wait(1600);
-    expect(r.ask('e1')).to.equal('lent 4');
+  it('recalls at once, informs the holder, and lends nothing for a while', async () => {
+    const s = setup();
+    s.ask('e1');
+    s.lender.recall('m2');
+    expect(s.messages).to.deep.equal(['loan.recall 10.0.0.1:1']);
+    expect(s.loan()).to.include({ slots: 0, why: 'live' });
+    await s.settle();
+    expect(s.ask('e1')).to.equal('nothing');
+    s.wait(1600);
+    expect(s.ask('e1')).to.equal('lent 4');
   });
-  it('keeps a server from others while a holder that was called back does not reply', async () => {
-    const r = rig();
-    r.ask('e1');
-    r.is.reached = false;
-    r.lender.recalled('m2');
-    await r.settle();
-    r.wait(1600);
-    expect(r.ask('e2', 1)).to.equal('held');
+  it('does not lend a server to another daemon while a recalled holder does not reply', async () => {
+    const s = setup();
+    s.ask('e1');
+    s.state.holderReachable = false;
+    s.lender.recall('m2');
+    await s.settle();
+    s.wait(1600);
+    expect(s.ask('e2', 1)).to.equal('held');
   });
-  it('calls back once live work and what is kept leave nothing', () => {
-    const r = rig();
-    r.ask('e1');
-    r.is.load = 6;
-    r.lender.tick();
-    expect(r.loan()).to.include({ slots: 0, why: 'load' });
+  it('recalls once live requests and the configured reserve leave nothing', () => {
+    const s = setup();
+    s.ask('e1');
+    s.state.decodeLoad = 6;
+    s.lender.tick();
+    expect(s.loan()).to.include({ slots: 0, why: 'load' });
   });
-  it('ends the loans that a lender before it told of', () => {
-    const r = rig();
-    r.ask('e1');
-    const next = rig();
-    next.is.fence = 4;
+  it('ends the loans that a previous lender published', () => {
+    const s = setup();
+    s.ask('e1');
+    const next = setup();
+    next.state.fence = 4;
     next.ask('e1');
     next.wait(2300);
     next.lender.tick();
--- a/packages/counter/src/lending/lender.ts
+++ b/packages/counter/src/lending/lender.ts
@@ -7,138 +7,159 @@
 import { LoanWords } from './loanwords.js';
 import { Spare } from './spare.js';
 
-type Tools = {
+type Dependencies = {
   world: World;
   post: PostBox;
+  /** Configuration and stage assignments. */
   sheet: SheetView;
+  /** Backend inventory. */
   town: TownView;
+  /** Named leases held by this daemon. */
   duty: Duties;
+  /** Gossip by which loans are published. */
   purge: Purging;
+  /** Load of the whole fleet by live requests: `read` is prefill, `write` is decode. */
   load: () => { read: number; write: number };
+  /** The loan of a server as last published. */
   loan: (server: string) => Loan | null;
   self: () => string;
 };
-/** `until` is longer than the holder's lease; `slots` may be 0 while the holder may still count on more. */
-type Held = { holder: Ident; burst: string; slots: number; until: number };
-type Ask = { who: string; order: number; at: number };
-/** What was begun for a holder that has gone, and may still run. */
-type Trail = { slots: number; until: number };
+/** `until` is later than the end of the holder's lease; `slots` may be 0 while the holder may still rely on more. */
+type Grant = { holder: Ident; burst: string; slots: number; until: number };
+type LoanRequest = { requester: string; order: number; at: number };
+/** Borrowed requests that may still run although their loan has ended. */
+type Residue = { slots: number; until: number };
 
-const MARGIN = 200;
-const CALM = 1500;
-const FRESH = 1000;
-const LINGER = 6000;
-const ASK = 300;
-const name = (who: Ident): string => `${who.id}/${who.born}`;
+/** By how much a loan lasts longer at the lender than at its holder. */
+const EXPIRY_MARGIN_MS = 200;
+/** Time after a revocation in which nothing is lent. */
+const REVOCATION_COOLDOWN_MS = 1500;
+/** How long a request for a loan counts against requests for later bursts. */
+const REQUEST_RETENTION_MS = 1000;
+/** How long requests of an ended loan may still run. */
+const RESIDUE_MS = 6000;
+const REQUEST_TIMEOUT_MS = 300;
+const instanceOf = (ident: Ident): string => `${ident.id}/${ident.born}`;
 
 /**
- * Lends the servers whose rows this daemon holds. Invariants: nothing is lent without a live fence of the row at that
- * instant; a server has one holder, and another only once that one has given it back or `until` is past; a burst that
- * was begun earlier and asks goes first; nothing is lent within CALM of a revocation.
+ * Lends the servers whose leases this daemon holds. Invariants: nothing is lent without a fencing token for the server
+ * that is valid at that instant; a server has one holder, and another only once that one has given it back or `until`
+ * has passed; of the bursts that request a server, the earliest goes first; nothing is lent within
+ * REVOCATION_COOLDOWN_MS of a revocation.
  */
 export const Lender = {
-  make(t: Tools) {
-    const held = new Map<string, Held>();
-    const asks = new Map<string, readonly Ask[]>();
-    const calm = new Map<string, number>();
-    const trails = new Map<string, Trail>();
-    const now = (): number => t.world.clock.mono();
-    const fence = (server: string): number | null => t.duty.fence(`row:${server}`);
-    const open = (server: string): Held | null => {
-      const h = held.get(server);
-      return h && h.until > now() ? h : null;
+  make(deps: Dependencies) {
+    const grants = new Map<string, Grant>();
+    const requests = new Map<string, readonly LoanRequest[]>();
+    const cooldownUntil = new Map<string, number>();
+    const residues = new Map<string, Residue>();
+    const now = (): number => deps.world.clock.mono();
+    const fence = (server: string): number | null => deps.duty.fence(`row:${server}`);
+    const currentGrant = (server: string): Grant | null => {
+      const grant = grants.get(server);
+      return grant && grant.until > now() ? grant : null;
     };
     const rows = (): SheetRow[] =>
-      [...t.sheet.rows().values()].map((r) => r.row).filter((r) => t.town.good(r.server, r.born) !== null);
-    const lendable = (server: string): number => {
-      const c = t.sheet.charter(),
-        trail = trails.get(server);
-      const left = trail && trail.until > now() ? trail.slots : 0;
-      return c ? Math.max(0, Spare.slots(c, rows(), t.load(), server) - left) : 0;
+      [...deps.sheet.rows().values()].map((r) => r.row).filter((r) => deps.town.good(r.server, r.born) !== null);
+    const lendableSlots = (server: string): number => {
+      const configuration = deps.sheet.charter(),
+        residue = residues.get(server);
+      const stillUsed = residue && residue.until > now() ? residue.slots : 0;
+      return configuration ? Math.max(0, Spare.slots(configuration, rows(), deps.load(), server) - stillUsed) : 0;
     };
     const publish = (server: string, slots: number, holder: string, burst: string, why: Loan['why']): boolean => {
-      const f = fence(server),
-        row = t.sheet.rows().get(server)?.row;
-      const mark = f === null ? null : Order.next(t.sheet.mark(`loan:${server}`), f);
+      const fencingToken = fence(server),
+        row = deps.sheet.rows().get(server)?.row;
+      const mark = fencingToken === null ? null : Order.next(deps.sheet.stamp(`loan:${server}`), fencingToken);
       if (!mark || !row) return false;
       const { born, part } = row,
-        since = t.world.clock.wall();
-      const body: Loan = { server, born, part, slots, holder, burst, why, by: t.self(), since };
-      if (!t.purge.publish({ name: `loan:${server}`, mark, body })) return false;
-      t.world.tell({ what: 'loan', server, part, slots, holder, burst, why });
+        since = deps.world.clock.wall();
+      const body: Loan = { server, born, part, slots, holder, burst, why, by: deps.self(), since };
+      if (!deps.purge.publish({ name: `loan:${server}`, mark, body })) return false;
+      deps.world.tell({ what: 'loan', server, part, slots, holder, burst, why });
       return true;
     };
-    const over = (server: string, why: Loan['why'], running: number): void => {
-      const h = held.get(server);
-      if (!h) return;
-      held.delete(server);
-      if (why === 'lapsed') t.world.tell({ what: 'lapsed', server, holder: h.holder.id });
-      // Of one that was called back and never replied, the trail laid then still holds.
-      if (why !== 'lapsed' || h.slots > 0) trails.set(server, { slots: running, until: now() + LINGER });
-      if ((t.loan(server)?.slots ?? 0) > 0) publish(server, 0, h.holder.id, h.burst, why);
+    /** Ends a loan; `running` is the weight of its requests that may still run. */
+    const endLoan = (server: string, why: Loan['why'], running: number): void => {
+      const grant = grants.get(server);
+      if (!grant) return;
+      grants.delete(server);
+      if (why === 'lapsed') deps.world.tell({ what: 'lapsed', server, holder: grant.holder.id });
+      // If a recalled holder never replied, the residue recorded at the revocation stays in force.
+      if (why !== 'lapsed' || grant.slots > 0) residues.set(server, { slots: running, until: now() + RESIDUE_MS });
+      if ((deps.loan(server)?.slots ?? 0) > 0) publish(server, 0, grant.holder.id, grant.burst, why);
     };
-    /** Nothing is lent from now on; another may borrow once the holder has said so, or its lease is past. */
+    /** Stops lending the server at once; another may borrow it once the holder has confirmed or its lease has ended. */
     const revoke = async (server: string, why: 'live' | 'load'): Promise<void> => {
-      const h = open(server);
-      calm.set(server, now() + CALM);
-      if (!h || h.slots === 0) return;
-      const was = h.slots;
-      held.set(server, { ...h, slots: 0 });
-      trails.set(server, { slots: was, until: h.until + LINGER });
-      publish(server, 0, h.holder.id, h.burst, why);
-      const { addr, id } = h.holder;
-      const r = await t.post.ask(addr, id, 'loan.recall', { server }, LoanWords.recalled, ASK);
-      if (r.ok && r.val.ok && held.get(server)?.holder === h.holder) over(server, why, r.val.running);
+      const grant = currentGrant(server);
+      cooldownUntil.set(server, now() + REVOCATION_COOLDOWN_MS);
+      if (!grant || grant.slots === 0) return;
+      const revokedSlots = grant.slots;
+      grants.set(server, { ...grant, slots: 0 });
+      residues.set(server, { slots: revokedSlots, until: grant.until + RESIDUE_MS });
+      publish(server, 0, grant.holder.id, grant.burst, why);
+      const { addr, id } = grant.holder;
+      const reply = await deps.post.ask(addr, id, 'loan.recall', { server }, LoanWords.recallReply, REQUEST_TIMEOUT_MS);
+      if (reply.ok && reply.val.ok && grants.get(server)?.holder === grant.holder)
+        endLoan(server, why, reply.val.running);
     };
-    const noted = (server: string, who: string, order: number): readonly Ask[] => {
-      const list = [
-        ...(asks.get(server) ?? []).filter((a) => a.who !== who && now() - a.at < FRESH),
-        { who, order, at: now() },
+    const recordRequest = (server: string, requester: string, order: number): readonly LoanRequest[] => {
+      const recent = [
+        ...(requests.get(server) ?? []).filter((r) => r.requester !== requester && now() - r.at < REQUEST_RETENTION_MS),
+        { requester, order, at: now() },
       ];
-      asks.set(server, list);
-      return list;
+      requests.set(server, recent);
+      return recent;
     };
-    t.post.on('loan.ask', LoanWords.ask, (b, from) => {
-      const no = (why: string) => ({ ok: false, slots: 0, term: 0, why });
-      const who = name(from),
-        term = t.sheet.charter()?.lending?.length;
-      if (fence(b.server) === null || term === undefined) return no('notmine');
-      if (t.sheet.rows().get(b.server)?.row.born !== b.born) return no('notserving');
-      if (held.has(b.server) && !open(b.server)) over(b.server, 'lapsed', held.get(b.server)!.slots);
-      const first = noted(b.server, who, b.order).every((a) => a.order >= b.order);
-      const h = open(b.server);
-      if (h && name(h.holder) !== who) return no('held');
-      if (!first) return no('older');
-      const mine = h ? h.slots : 0;
-      const slots = (calm.get(b.server) ?? 0) > now() ? 0 : lendable(b.server);
+    deps.post.on('loan.ask', LoanWords.ask, (request, from) => {
+      const refuse = (why: string) => ({ ok: false, slots: 0, term: 0, why });
+      const requester = instanceOf(from),
+        term = deps.sheet.charter()?.lending?.length;
+      if (fence(request.server) === null || term === undefined) return refuse('notmine');
+      if (deps.sheet.rows().get(request.server)?.row.born !== request.born) return refuse('notserving');
+      if (grants.has(request.server) && !currentGrant(request.server))
+        endLoan(request.server, 'lapsed', grants.get(request.server)!.slots);
+      const isEarliest = recordRequest(request.server, requester, request.order).every((r) => r.order >= request.order);
+      const grant = currentGrant(request.server);
+      if (grant && instanceOf(grant.holder) !== requester) return refuse('held');
+      if (!isEarliest) return refuse('older');
+      const grantedSlots = grant ? grant.slots : 0;
+      const slots = (cooldownUntil.get(request.server) ?? 0) > now() ? 0 : lendableSlots(request.server);
       if (slots === 0) {
-        if (mine > 0) void revoke(b.server, 'load');
-        return no('nothing');
+        if (grantedSlots > 0) void revoke(request.server, 'load');
+        return refuse('nothing');
       }
-      const doc = t.loan(b.server);
-      const told = doc?.slots === slots && doc.holder === from.id && doc.burst === b.burst && doc.by === t.self();
-      if (!told && !publish(b.server, slots, from.id, b.burst, 'lent')) return no('notmine');
-      held.set(b.server, { holder: from, burst: b.burst, slots, until: now() + term + MARGIN });
+      const loan = deps.loan(request.server);
+      const published =
+        loan?.slots === slots && loan.holder === from.id && loan.burst === request.burst && loan.by === deps.self();
+      if (!published && !publish(request.server, slots, from.id, request.burst, 'lent')) return refuse('notmine');
+      grants.set(request.server, {
+        holder: from,
+        burst: request.burst,
+        slots,
+        until: now() + term + EXPIRY_MARGIN_MS,
+      });
       return { ok: true, slots, term, why: 'lent' };
     });
-    t.post.on('loan.give', LoanWords.give, (b, from) => {
-      const h = held.get(b.server);
-      if (!h || name(h.holder) !== name(from)) return { ok: false };
-      over(b.server, 'given', b.running);
+    deps.post.on('loan.give', LoanWords.give, (message, from) => {
+      const grant = grants.get(message.server);
+      if (!grant || instanceOf(grant.holder) !== instanceOf(from)) return { ok: false };
+      endLoan(message.server, 'given', message.running);
       return { ok: true };
     });
     return {
-      recalled: (server: string): void => void revoke(server, 'live'),
-      /** Lapsed loans are told of, also those of a lender before this one; what live work needs is called back. */
+      /** Revokes the loan of a server because live requests would have to wait. */
+      recall: (server: string): void => void revoke(server, 'live'),
+      /** Publishes the end of expired loans, also those of a previous lender; revokes what live requests need. */
       tick(): void {
-        for (const [server, h] of held) {
-          if (h.until <= now()) over(server, 'lapsed', h.slots);
-          else if (h.slots > 0 && lendable(server) === 0) void revoke(server, 'load');
+        for (const [server, grant] of grants) {
+          if (grant.until <= now()) endLoan(server, 'lapsed', grant.slots);
+          else if (grant.slots > 0 && lendableSlots(server) === 0) void revoke(server, 'load');
         }
-        for (const { row } of t.sheet.rows().values()) {
-          const doc = t.loan(row.server);
-          if (doc && doc.slots > 0 && !held.has(row.server) && fence(row.server) !== null)
-            publish(row.server, 0, doc.holder, doc.burst, 'lapsed');
+        for (const { row } of deps.sheet.rows().values()) {
+          const loan = deps.loan(row.server);
+          if (loan && loan.slots > 0 && !grants.has(row.server) && fence(row.server) !== null)
+            publish(row.server, 0, loan.holder, loan.burst, 'lapsed');
         }
       },
     };
--- a/packages/counter/src/lending/lending.ts
+++ b/packages/counter/src/lending/lending.ts
@@ -18,111 +18,131 @@
   RunTools,
   'world' | 'choice' | 'town' | 'hails' | 'witness' | 'back' | 'sighted' | 'version' | 'sure'
 >;
-type Tools = Shared & {
+type Dependencies = Shared & {
   post: PostBox;
   line: ControlClient;
+  /** Configuration and stage assignments. */
   sheet: SheetView;
   shelf: Holding;
+  /** Gossip by which loans are published. */
   purge: Purging;
+  /** Named leases held by this daemon. */
   duty: Duties;
+  /** Load of this daemon's live requests on the servers. */
   loads: ReturnType<typeof Loads.make>;
-  /** The weight of live requests that wait for a turn at admission, and with a handle for a decode server. */
+  /** Weight of live requests that wait: for admission ('prefill'), or with a KV handle for a server ('decode'). */
   waiting: (part: 'prefill' | 'decode') => number;
+  /** Zone of this daemon. */
   site: string;
+  /** Why this daemon accepts no requests at present; null while it accepts them. */
   open: () => Verdict | null;
+  /** Whether the backend inventory is recent enough to route by. */
   young: () => boolean;
   serving: () => boolean;
+  /** Load of the whole fleet by live requests. */
   load: () => { read: number; write: number };
   roster: () => readonly Ident[];
+  /** Checks whether this daemon has been suspended. */
   look: () => void;
   self: () => string;
 };
-const PUMP = 50;
+const DISPATCH_INTERVAL_MS = 50;
 
-/** Lending in one daemon: as lender of the servers whose rows it holds, as borrower, and as runner of bursts. */
+/** Lending in one daemon: it lends the servers whose leases it holds, borrows servers, and runs bursts on them. */
 export const Lending = {
-  make(t: Tools) {
-    const { world, sheet } = t;
-    const lent = Loads.make();
-    const term = (): number => sheet.charter()?.lending?.length ?? 0;
-    const loan = (server: string): Loan | null => (t.shelf.get(`loan:${server}`)?.body as Loan | undefined) ?? null;
+  make(deps: Dependencies) {
+    const { world, sheet } = deps;
+    const borrowedLoads = Loads.make();
+    const termMs = (): number => sheet.charter()?.lending?.length ?? 0;
+    const loan = (server: string): Loan | null => (deps.shelf.get(`loan:${server}`)?.body as Loan | undefined) ?? null;
     const loans = (): Loan[] => [...sheet.rows().keys()].flatMap((s) => loan(s) ?? []);
-    const diary = LoanDiary.make(world.clock, t.shelf);
-    const lender = Lender.make({ ...t, loan });
+    const history = LoanDiary.make(world.clock, deps.shelf);
+    const lender = Lender.make({ ...deps, loan });
     const borrower = Borrower.make({
-      ...{ world, post: t.post, sheet, town: t.town, roster: t.roster, look: t.look, running: lent.at },
-      ended: () => run.clear(),
+      ...{
+        world,
+        post: deps.post,
+        sheet,
+        town: deps.town,
+        roster: deps.roster,
+        checkSuspension: deps.look,
+        runningWeight: borrowedLoads.at,
+      },
+      onLoanEnded: () => borrowedRun.clear(),
     });
-    const run = LentRun.make({ ...t, charter: sheet.charter, loads: lent, borrower });
+    const borrowedRun = LentRun.make({ ...deps, charter: sheet.charter, loads: borrowedLoads, borrower });
     const runner = Runner.make({
-      ...{ world, line: t.line, duty: t.duty, charter: sheet.charter, room: run.room },
+      ...{ world, controlClient: deps.line, duty: deps.duty, configuration: sheet.charter, capacity: borrowedRun.room },
       run: (request, sink) => {
-        const done = run.request(request, sink);
-        run.pump();
+        const done = borrowedRun.request(request, sink);
+        borrowedRun.pump();
         return done;
       },
     });
-    const watch = LiveWatch.make({
-      ...{ clock: world.clock, post: t.post, choice: t.choice, loads: t.loads, loans, roster: t.roster },
+    const monitor = LiveWatch.make({
+      ...{ clock: world.clock, post: deps.post, choice: deps.choice, loads: deps.loads, loans, roster: deps.roster },
       slots: (server) => sheet.charter()?.servers.find((s) => s.id === server)?.slots ?? 0,
-      waiting: t.waiting,
-      load: t.load,
-      lender: (server) => Holder.of(`row:${server}`, t.roster()),
-      tell: (part, servers) => world.tell({ what: 'wouldwait', part, servers }),
+      waiting: deps.waiting,
+      load: deps.load,
+      lender: (server) => Holder.of(`row:${server}`, deps.roster()),
+      onRecall: (part, servers) => world.tell({ what: 'wouldwait', part, servers }),
     });
-    t.post.on('loan.recall', LoanWords.recall, (b) => {
-      lender.recalled(b.server);
-      const ok = borrower.recalled(b.server);
-      if (ok) world.tell({ what: 'recalled', server: b.server, running: lent.at(b.server) });
-      return { ok, running: lent.at(b.server) };
+    deps.post.on('loan.recall', LoanWords.recall, (message) => {
+      lender.recall(message.server);
+      const ok = borrower.recalled(message.server);
+      if (ok) world.tell({ what: 'recalled', server: message.server, running: borrowedLoads.at(message.server) });
+      return { ok, running: borrowedLoads.at(message.server) };
     });
-    const stops: (() => void)[] = [];
+    const stopTimers: (() => void)[] = [];
     return {
+      /** The loans of all servers as last published. */
       loans,
-      story: diary.of,
-      names: runner.names,
-      drop: borrower.drop,
+      /** Past and present loans of a server. */
+      history: history.of,
+      names: runner.leaseNames,
+      drop: borrower.forgetAll,
       /** The decode servers at which borrowed requests run. */
       streaming: (): string[] =>
         [...sheet.rows().values()].flatMap(({ row }) =>
-          row.part === 'decode' && lent.at(row.server) > 0 ? [row.server] : [],
+          row.part === 'decode' && borrowedLoads.at(row.server) > 0 ? [row.server] : [],
         ),
-      under: run.under,
-      hand: runner.hand,
-      /** A live request of a rule has come in. */
+      under: borrowedRun.under,
+      hand: runner.inProgress,
+      /** Called when a live request has arrived; `name` is the route that it asks for, if any. */
       arrived(name: string | undefined): void {
-        const c = sheet.charter();
-        if (!c?.lending) return;
-        const rule: Rule | undefined = c.rules.find((r) => r.name === (name ?? c.fallback));
-        if (rule) watch.arrived(rule);
+        const configuration = sheet.charter();
+        if (!configuration?.lending) return;
+        const route: Rule | undefined = configuration.rules.find((r) => r.name === (name ?? configuration.fallback));
+        if (route) monitor.onArrival(route);
       },
-      /** A live request has been read, and wants a decode server. */
-      handed(rule: Rule): void {
-        if (sheet.charter()?.lending) watch.handed(rule);
+      /** Called when a live request has finished prefill and needs a decode server. */
+      handed(route: Rule): void {
+        if (sheet.charter()?.lending) monitor.onPrefillDone(route);
       },
       start(): void {
-        stops.push(
-          Timer.every(world.clock, PUMP, () => {
-            run.pump();
+        stopTimers.push(
+          Timer.every(world.clock, DISPATCH_INTERVAL_MS, () => {
+            borrowedRun.pump();
             runner.fill();
           }),
         );
       },
       async tick(): Promise<void> {
         lender.tick();
-        if (!sheet.charter()?.lending && runner.hand() === 0 && borrower.count() === 0) return;
-        borrower.tick(t.serving() ? runner.need() : null, term());
+        if (!sheet.charter()?.lending && runner.inProgress() === 0 && borrower.count() === 0) return;
+        borrower.tick(deps.serving() ? runner.need() : null, termMs());
         await runner.read();
       },
-      /** Begins nothing more, gives back what is lent and what waits, and lets what runs come to its end. */
+      /** Starts nothing more, gives back the loans, fails the requests that wait, and lets the running ones finish. */
       async leave(until: number): Promise<void> {
         runner.stop();
-        run.clear();
-        borrower.tick(null, term());
-        while (runner.hand() > 0 && world.clock.mono() < until) await Timer.nap(world.clock, PUMP);
+        borrowedRun.clear();
+        borrower.tick(null, termMs());
+        while (runner.inProgress() > 0 && world.clock.mono() < until)
+          await Timer.nap(world.clock, DISPATCH_INTERVAL_MS);
       },
       stop(): void {
-        for (const s of stops) s();
+        for (const stopTimer of stopTimers) stopTimer();
       },
     };
   },
--- a/packages/counter/src/lending/lendingcontrol.test.ts
+++ b/packages/counter/src/lending/lendingcontrol.test.ts
@@ -3,54 +3,54 @@
 import { LendingControl } from './lendingcontrol.js';
 
 const spec = { key: 'a', rule: 'rollout', prompts: [{ prefix: 'p', part: 'q' }], samples: 3, repeats: 0 };
-const rig = (reached = true) => {
+const setup = (coreReachable = true) => {
   const written: unknown[] = [];
-  const desk = LendingControl.make({
+  const api = LendingControl.make({
     line: {
-      write: (c: unknown) => {
-        written.push(c);
+      write: (command: unknown) => {
+        written.push(command);
         return Promise.resolve({ ruling: { verdict: Verdicts.ran('begun', 'x') }, term: 0, sent: 0 });
       },
-      bursts: () => Promise.resolve(reached ? { ok: true, view: null, list: [], burst: null } : null),
+      bursts: () => Promise.resolve(coreReachable ? { ok: true, view: null, list: [], burst: null } : null),
     },
-    lending: { loans: () => [], story: () => [] },
+    lending: { loans: () => [], history: () => [] },
   } as never);
-  return { desk, written };
+  return { api, written };
 };
 
-describe('What is asked of lending', () => {
+describe('LendingApi', () => {
   const bad: [string, unknown, string[]][] = [
-    ['no body', null, ['']],
-    ['a key with other letters', { ...spec, key: 'a.b' }, ['/key']],
-    ['no prompt', { ...spec, prompts: [] }, ['/prompts']],
-    ['a key not known, and no samples', { ...spec, samples: 0, more: 1 }, ['/more', '/samples']],
+    ['a request without a body', null, ['']],
+    ['a key with a character that is not allowed', { ...spec, key: 'a.b' }, ['/key']],
+    ['a burst without prompts', { ...spec, prompts: [] }, ['/prompts']],
+    ['an unknown field and a sample count of zero', { ...spec, samples: 0, more: 1 }, ['/more', '/samples']],
   ];
   for (const [name, body, paths] of bad) {
-    it(`is turned away with ${name}, and nothing is written`, async () => {
-      const { desk, written } = rig();
-      const { verdict } = await desk.begin(body);
+    it(`refuses ${name}, and writes nothing`, async () => {
+      const { api, written } = setup();
+      const { verdict } = await api.begin(body);
       expect(verdict.code).to.equal('bad');
       expect([...new Set(verdict.faults!.map((f) => f.path))].sort()).to.deep.equal(paths);
       expect(written).to.deep.equal([]);
     });
   }
-  it('begins and ends a burst by one command each', async () => {
-    const { desk, written } = rig();
-    expect(await desk.begin(spec)).to.include({ key: 'a', total: 3 });
-    await desk.end('a');
+  it('starts and ends a burst by one command each', async () => {
+    const { api, written } = setup();
+    expect(await api.begin(spec)).to.include({ key: 'a', total: 3 });
+    await api.end('a');
     expect(written).to.deep.equal([
       { do: 'begin', spec },
       { do: 'end', id: 'a' },
     ]);
   });
-  it('says that it can not tell while the core does not reply', async () => {
-    const { desk } = rig(false);
-    expect((await desk.burst('a')).verdict.code).to.equal('unready');
-    expect((await desk.bursts()).verdict.code).to.equal('unready');
+  it('answers "unready" while the core does not reply', async () => {
+    const { api } = setup(false);
+    expect((await api.burst('a')).verdict.code).to.equal('unready');
+    expect((await api.bursts()).verdict.code).to.equal('unready');
   });
-  it('knows no burst and no loan that is not there', async () => {
-    const { desk } = rig();
-    expect((await desk.burst('a')).verdict.code).to.equal('unknown');
-    expect(desk.loan('m1').verdict.code).to.equal('unknown');
+  it('answers "unknown" for a burst or a loan that does not exist', async () => {
+    const { api } = setup();
+    expect((await api.burst('a')).verdict.code).to.equal('unknown');
+    expect(api.loan('m1').verdict.code).to.equal('unknown');
   });
 });
--- a/packages/counter/src/lending/lendingcontrol.ts
+++ b/packages/counter/src/lending/lendingcontrol.ts
@@ -2,43 +2,51 @@
 import { BurstSpec } from '@pumicebarrow/registry';
 import type { Counting } from '../counting.js';
 
-type Told = { verdict: Verdict; [key: string]: unknown };
-const READ = 2500;
+type Answer = { verdict: Verdict; [key: string]: unknown };
+const READ_TIMEOUT_MS = 2500;
 
-/** What operators and trainers may ask of bursts and loans. */
+/** The interface for operators and trainers to bursts and loans. */
 export const LendingControl = {
-  make(d: Pick<Counting, 'line' | 'lending'>) {
-    const unread = (): Told => ({ verdict: Verdicts.not('unready', 'The core does not reply; nothing was read.', 1) });
-    const read = Verdicts.ran('read', 'As the core has it.');
+  make(daemon: Pick<Counting, 'line' | 'lending'>) {
+    const noReply = (): Answer => ({
+      verdict: Verdicts.not('unready', 'The core does not reply; nothing was read.', 1),
+    });
+    const readVerdict = Verdicts.ran('read', 'As stored by the core.');
     return {
-      /** Acknowledged once the core holds it on disk; the same again is harmless, whatever became of the first. */
-      async begin(body: unknown): Promise<Told> {
-        const got = Check.parse(BurstSpec, body);
-        if (got.err) return { verdict: Verdicts.bad(got.val) };
-        const { ruling } = await d.line.write({ do: 'begin', spec: got.val });
-        return { ...ruling, key: got.val.key, total: got.val.prompts.length * got.val.samples };
+      /** Starts a burst; acknowledged once the core has it on disk. Repeating the same request is harmless. */
+      async begin(body: unknown): Promise<Answer> {
+        const parsed = Check.parse(BurstSpec, body);
+        if (parsed.err) return { verdict: Verdicts.bad(parsed.val) };
+        const { ruling } = await daemon.line.write({ do: 'begin', spec: parsed.val });
+        return { ...ruling, key: parsed.val.key, total: parsed.val.prompts.length * parsed.val.samples };
       },
-      async end(key: string): Promise<Told> {
-        const { ruling } = await d.line.write({ do: 'end', id: key });
+      async end(key: string): Promise<Answer> {
+        const { ruling } = await daemon.line.write({ do: 'end', id: key });
         return { ...ruling, key };
       },
-      async bursts(): Promise<Told> {
-        const got = await d.line.bursts({}, READ);
-        return got ? { verdict: read, bursts: got.list } : unread();
+      async bursts(): Promise<Answer> {
+        const reply = await daemon.line.bursts({}, READ_TIMEOUT_MS);
+        return reply ? { verdict: readVerdict, bursts: reply.list } : noReply();
       },
-      async burst(key: string): Promise<Told> {
-        const got = await d.line.bursts({ key, texts: true }, READ);
-        if (!got) return unread();
-        if (!got.burst) return { verdict: Verdicts.not('unknown', `There is no burst ${key}.`) };
-        const summary = got.list.find((b) => b.key === key);
-        return { verdict: read, summary, generations: got.burst.generations };
+      /** A burst with its generations and their texts. */
+      async burst(key: string): Promise<Answer> {
+        const reply = await daemon.line.bursts({ key, texts: true }, READ_TIMEOUT_MS);
+        if (!reply) return noReply();
+        if (!reply.burst) return { verdict: Verdicts.not('unknown', `There is no burst ${key}.`) };
+        const summary = reply.list.find((b) => b.key === key);
+        return { verdict: readVerdict, summary, generations: reply.burst.generations };
       },
-      loans: (): Told => ({ verdict: Verdicts.ran('read', 'As this daemon holds it.'), loans: d.lending.loans() }),
-      loan(server: string): Told {
-        const steps = d.lending.story(server);
+      /** The loans that this daemon knows of. */
+      loans: (): Answer => ({
+        verdict: Verdicts.ran('read', 'As stored by this daemon.'),
+        loans: daemon.lending.loans(),
+      }),
+      /** The history of a server's loans, as received by this daemon. */
+      loan(server: string): Answer {
+        const steps = daemon.lending.history(server);
         if (steps.length === 0)
-          return { verdict: Verdicts.not('unknown', `This daemon heard of no loan of ${server}.`) };
-        return { verdict: Verdicts.ran('read', 'As this daemon heard it.'), server, steps };
+          return { verdict: Verdicts.not('unknown', `This daemon has received no loan of ${server}.`) };
+        return { verdict: Verdicts.ran('read', 'As received by this daemon.'), server, steps };
       },
     };
   },
--- a/packages/counter/src/lending/lentchoice.ts
+++ b/packages/counter/src/lending/lentchoice.ts
@@ -4,33 +4,33 @@
 import type { Choosing } from '../choosing.js';
 import type { Borrower } from './borrower.js';
 
-type Part = 'prefill' | 'decode';
-type Tools = { live: Choosing; loads: LoadBook; borrower: ReturnType<typeof Borrower.make> };
+type Stage = 'prefill' | 'decode';
+type Dependencies = { live: Choosing; loads: LoadBook; borrower: ReturnType<typeof Borrower.make> };
 
 /**
- * The choice of servers for borrowed work. Invariants: only a server that is usable for live work and under a live
- * lease here is chosen; no more is begun at it than was lent.
+ * Picks servers for requests on borrowed capacity. Invariants: only a server that is usable for live requests and is
+ * borrowed under a valid lease is picked; no more load is put on it than was lent.
  */
 export const LentChoice = {
-  make(t: Tools): Choosing {
-    const slots = (s: Listed): number => t.borrower.slots(s.id, s.born);
-    const usable = (part: Part): Listed[] => t.live.usable(part).filter((s) => slots(s) > 0);
-    const free = (s: Listed): number => slots(s) - t.loads.at(s.id);
-    const room = (s: Listed, weight: number): boolean => weight <= free(s);
-    const share = (s: Listed): number => t.loads.at(s.id) / slots(s);
-    const pick = (part: Part, rule: Rule, not: ReadonlySet<string>): Listed | null => {
-      const list = usable(part).filter((s) => !not.has(s.id) && room(s, rule.weight));
-      return list.reduce<Listed | null>((a, b) => (a === null || share(b) < share(a) ? b : a), null);
+  make(deps: Dependencies): Choosing {
+    const slots = (server: Listed): number => deps.borrower.slots(server.id, server.born);
+    const usable = (stage: Stage): Listed[] => deps.live.usable(stage).filter((s) => slots(s) > 0);
+    const free = (server: Listed): number => slots(server) - deps.loads.at(server.id);
+    const fits = (server: Listed, weight: number): boolean => weight <= free(server);
+    const utilization = (server: Listed): number => deps.loads.at(server.id) / slots(server);
+    const leastUtilized = (stage: Stage, route: Rule, excluded: ReadonlySet<string>): Listed | null => {
+      const servers = usable(stage).filter((s) => !excluded.has(s.id) && fits(s, route.weight));
+      return servers.reduce<Listed | null>((a, b) => (a === null || utilization(b) < utilization(a) ? b : a), null);
     };
     return {
       usable,
-      roomy: (part, rule, held) => {
-        const list = usable(part);
-        const all = list.reduce((n, s) => n + Math.max(0, free(s)), 0);
-        return list.some((s) => room(s, rule.weight)) && t.loads.at(held) + rule.weight <= all;
+      roomy: (stage, route, reservedKey) => {
+        const servers = usable(stage);
+        const freeSlots = servers.reduce((n, s) => n + Math.max(0, free(s)), 0);
+        return servers.some((s) => fits(s, route.weight)) && deps.loads.at(reservedKey) + route.weight <= freeSlots;
       },
-      prefill: (rule, _prefix, not) => pick('prefill', rule, not),
-      decode: (rule, _from, not) => pick('decode', rule, not),
+      prefill: (route, _prefix, excluded) => leastUtilized('prefill', route, excluded),
+      decode: (route, _prefillServer, excluded) => leastUtilized('decode', route, excluded),
     };
   },
 };
--- a/packages/counter/src/lending/livewatch.ts
+++ b/packages/counter/src/lending/livewatch.ts
@@ -5,70 +5,84 @@
 import { Share } from '../share.js';
 import { LoanWords } from './loanwords.js';
 
-type Part = 'prefill' | 'decode';
-type Tools = {
+type Stage = 'prefill' | 'decode';
+type Dependencies = {
   clock: Clock;
   post: PostBox;
   choice: Choosing;
   loads: LoadBook;
   loans: () => readonly Loan[];
   slots: (server: string) => number;
-  /** The weight of live requests that wait at this daemon for this part, and not for another. */
-  waiting: (part: Part) => number;
-  /** What live work of the whole fleet wants, as it last checked in. */
+  /** Weight of live requests that wait at this daemon for this stage only. */
+  waiting: (stage: Stage) => number;
+  /** Load of the whole fleet by live requests, as of its last check-in: `read` is prefill, `write` is decode. */
   load: () => { read: number; write: number };
   roster: () => readonly Ident[];
   lender: (server: string) => Ident | null;
-  tell: (part: Part, servers: readonly string[]) => void;
+  /** Called with the servers whose loans are recalled. */
+  onRecall: (stage: Stage, servers: readonly string[]) => void;
 };
-const ASK = 300;
-const AGAIN = 200;
-/** Under what name room of a part is promised to those that were given a turn. */
-const PROMISED = { prefill: '*turn', decode: '*hand' } as const;
+const REQUEST_TIMEOUT_MS = 300;
+/** Least time between two recalls of a loan. */
+const RECALL_INTERVAL_MS = 200;
+/** Keys under which the load of requests that have a turn but no server yet is tracked. */
+const RESERVED_LOAD_KEYS = { prefill: '*turn', decode: '*hand' } as const;
 
 /**
- * Looks whether live work would wait if what is lent counted as taken, and calls it back. Invariant: the live request
- * itself is never held up by that; it goes on as if nothing were lent. A daemon's share is a guess: what is beyond it
- * would wait only if the fleet's live work, with all that is under way here counted as new, has no room beside loans.
+ * Recalls loans when live requests would have to wait if lent capacity counted as used. Invariant: the live request
+ * itself is never delayed by this; it proceeds as if nothing were lent. A daemon's share of a server is an estimate:
+ * a request beyond it would wait only if the fleet's live load, with everything in flight here counted as not yet
+ * included, does not fit beside the loans.
  */
 export const LiveWatch = {
-  make(t: Tools) {
-    const told = new Map<string, number>();
-    const would = (part: Part, weight: number, loans: readonly Loan[]): boolean => {
-      const list = t.choice.usable(part);
-      const n = t.roster().filter((r) => r.role === 'counter').length;
-      const lent = new Map(loans.map((l) => [l.server, l.slots]));
-      const share = (id: string): number => Share.of(Math.max(0, t.slots(id) - (lent.get(id) ?? 0)), n);
-      const used = list.reduce((a, s) => a + t.loads.at(s.id), 0) + t.loads.at(PROMISED[part]) + t.waiting(part);
-      const left = list.reduce((a, s) => a + share(s.id), 0);
-      const all = list.reduce((a, s) => a + Math.max(0, t.slots(s.id) - (lent.get(s.id) ?? 0)), 0);
-      const fleet = part === 'prefill' ? t.load().read : t.load().write;
-      return used > 0 && used + weight > left && fleet + used + weight > all;
+  make(deps: Dependencies) {
+    const recalledAt = new Map<string, number>();
+    const wouldWait = (stage: Stage, weight: number, loans: readonly Loan[]): boolean => {
+      const servers = deps.choice.usable(stage);
+      const daemons = deps.roster().filter((r) => r.role === 'counter').length;
+      const lentSlots = new Map(loans.map((l) => [l.server, l.slots]));
+      const shareOf = (id: string): number => Share.of(Math.max(0, deps.slots(id) - (lentSlots.get(id) ?? 0)), daemons);
+      const used =
+        servers.reduce((a, s) => a + deps.loads.at(s.id), 0) +
+        deps.loads.at(RESERVED_LOAD_KEYS[stage]) +
+        deps.waiting(stage);
+      const ownShare = servers.reduce((a, s) => a + shareOf(s.id), 0);
+      const fleetCapacity = servers.reduce((a, s) => a + Math.max(0, deps.slots(s.id) - (lentSlots.get(s.id) ?? 0)), 0);
+      const fleetLoad = stage === 'prefill' ? deps.load().read : deps.load().write;
+      return used > 0 && used + weight > ownShare && fleetLoad + used + weight > fleetCapacity;
     };
     const recall = (loan: Loan): boolean => {
-      if (t.clock.mono() - (told.get(loan.server) ?? -Infinity) < AGAIN) return false;
-      told.set(loan.server, t.clock.mono());
-      const holder = t.roster().find((r) => r.id === loan.holder) ?? null;
-      for (const who of [holder, t.lender(loan.server)])
-        if (who) void t.post.ask(who.addr, who.id, 'loan.recall', { server: loan.server }, LoanWords.recalled, ASK);
+      if (deps.clock.mono() - (recalledAt.get(loan.server) ?? -Infinity) < RECALL_INTERVAL_MS) return false;
+      recalledAt.set(loan.server, deps.clock.mono());
+      const holder = deps.roster().find((r) => r.id === loan.holder) ?? null;
+      for (const ident of [holder, deps.lender(loan.server)])
+        if (ident)
+          void deps.post.ask(
+            ident.addr,
+            ident.id,
+            'loan.recall',
+            { server: loan.server },
+            LoanWords.recallReply,
+            REQUEST_TIMEOUT_MS,
+          );
       return true;
     };
-    const check = (part: Part, weight: number, loans: readonly Loan[]): void => {
-      const lent = loans.filter((l) => l.part === part && l.slots > 0);
-      if (lent.length === 0 || !would(part, weight, loans)) return;
-      const called = lent.filter(recall).map((l) => l.server);
-      if (called.length > 0) t.tell(part, called);
+    const check = (stage: Stage, weight: number, loans: readonly Loan[]): void => {
+      const lent = loans.filter((l) => l.part === stage && l.slots > 0);
+      if (lent.length === 0 || !wouldWait(stage, weight, loans)) return;
+      const recalled = lent.filter(recall).map((l) => l.server);
+      if (recalled.length > 0) deps.onRecall(stage, recalled);
     };
     return {
-      /** A live request of this rule has come in. */
-      arrived(rule: Rule): void {
-        const loans = t.loans();
-        check('prefill', rule.weight, loans);
-        check('decode', rule.weight, loans);
+      /** Called when a live request of this route has arrived. */
+      onArrival(route: Rule): void {
+        const loans = deps.loans();
+        check('prefill', route.weight, loans);
+        check('decode', route.weight, loans);
       },
-      /** A live request of this rule has been read, and wants a decode server. */
-      handed(rule: Rule): void {
-        check('decode', rule.weight, t.loans());
+      /** Called when a live request of this route has finished prefill and needs a decode server. */
+      onPrefillDone(route: Rule): void {
+        check('decode', route.weight, deps.loans());
       },
     };
   },
--- a/packages/counter/src/lending/loandiary.ts
+++ b/packages/counter/src/lending/loandiary.ts
@@ -3,18 +3,18 @@
 import type { Loan } from '@pumicebarrow/registry';
 
 type Step = { mark: Doc['mark']; wall: number; loan: Loan };
-const MOST = 32;
+const MAX_STEPS = 32;
 
-/** What this daemon heard of each server's loans, the latest last. Invariant: at most MOST steps a server. */
+/** The loan records that this daemon has received, the latest last. Invariant: at most MAX_STEPS per server. */
 export const LoanDiary = {
-  make(clock: Clock, shelf: Holding) {
-    const rows = new Map<string, readonly Step[]>();
-    shelf.heed((doc) => {
+  make(clock: Clock, recordStore: Holding) {
+    const stepsByServer = new Map<string, readonly Step[]>();
+    recordStore.heed((doc) => {
       if (!doc.name.startsWith('loan:')) return;
       const loan = doc.body as Loan,
-        old = rows.get(loan.server) ?? [];
-      rows.set(loan.server, [...old, { mark: doc.mark, wall: clock.wall(), loan }].slice(-MOST));
+        steps = stepsByServer.get(loan.server) ?? [];
+      stepsByServer.set(loan.server, [...steps, { mark: doc.mark, wall: clock.wall(), loan }].slice(-MAX_STEPS));
     });
-    return { of: (server: string): readonly Step[] => rows.get(server) ?? [] };
+    return { of: (server: string): readonly Step[] => stepsByServer.get(server) ?? [] };
   },
 };
--- a/packages/counter/src/lending/runner.ts
+++ b/packages/counter/src/lending/runner.ts
@@ -5,113 +5,159 @@
 import type { Request } from '../request.js';
 import { Takes } from '../takes.js';
 
-type Tools = {
+type Dependencies = {
   world: World;
-  line: ControlClient;
+  controlClient: ControlClient;
+  /** Named leases held by this daemon. */
   duty: Duties;
-  charter: () => Charter | null;
-  /** How many more may be begun, for a rule. */
-  room: (rule: Rule) => number;
+  configuration: () => Charter | null;
+  /** Total weight of a route's generations that may be in progress at once. */
+  capacity: (route: Rule) => number;
   run: (request: Request, sink: CallerSink) => Promise<Verdict>;
 };
-type Place = { burst: Burst; index: number; generation: Generation };
-type Step = { mark: number; turn: number; fence: number };
+/** A generation that is waiting or was begun. */
+type OpenGeneration = { burst: Burst; index: number; generation: Generation };
+/** A send of a generation as the core records it: run number, attempt of that run, and fencing token. */
+type SendRecord = { mark: number; turn: number; fence: number };
 
-const WRITE = 1500;
-const AGAIN = 500;
-const PAUSE = 300;
+const WRITE_TIMEOUT_MS = 1500;
+const SETTLE_RETRY_MS = 500;
+/** Pause after a refusal or a generation that did not run, before anything else is started. */
+const BACKOFF_MS = 300;
 
 /**
- * Runs the bursts whose shards this daemon holds, in the order of their beginning and, within one, of their numbers.
- * Invariants: a request is sent only once the core holds its mark, made under a fence that is live here; what is in
- * hand is not taken up again by this daemon; each ends in one word to the core, said until it is taken.
+ * Runs the bursts whose shards this daemon leases, in the order in which the bursts began and, within one, by index.
+ * Invariants: a request is sent only once the core has recorded it, under a fencing token that is valid here; this
+ * daemon does not start a generation again that is in progress; each generation ends in one result, reported to the
+ * core until it is accepted.
  */
 export const Runner = {
-  make(t: Tools) {
+  make(deps: Dependencies) {
     let bursts: readonly Burst[] = [];
-    /** Places whose state was read since this daemon last had them in hand. */
-    let known = new Set<string>();
-    const hand = new Set<string>();
-    /** Places that were given back here and not begun again since: nothing that comes later is begun before them. */
-    const back = new Set<string>();
-    /** Marks that may have been written and for which nothing was sent, since the core did not say. */
-    const unsaid = new Map<string, Step>();
-    let pause = 0;
+    /** Ids of generations whose state was read after this daemon last had them in progress. */
+    let upToDate = new Set<string>();
+    const inProgress = new Set<string>();
+    /** Ids of generations that did not run here and were not started since; nothing later starts before them. */
+    const returned = new Set<string>();
+    /** Sends that the core may have recorded without confirming it, and for which nothing was sent. */
+    const unconfirmed = new Map<string, SendRecord>();
+    let pausedUntil = 0;
     let reading = false;
-    let off = false;
-    const now = (): number => t.world.clock.mono();
-    const ruleOf = (b: Burst): Rule | null => {
-      const c = t.charter();
-      return c?.lending?.rules.includes(b.spec.rule) ? (c.rules.find((r) => r.name === b.spec.rule) ?? null) : null;
+    let stopped = false;
+    const now = (): number => deps.world.clock.mono();
+    const routeOf = (burst: Burst): Rule | null => {
+      const configuration = deps.configuration();
+      return configuration?.lending?.rules.includes(burst.spec.rule)
+        ? (configuration.rules.find((r) => r.name === burst.spec.rule) ?? null)
+        : null;
     };
-    const places = (): Place[] =>
+    const openGenerations = (): OpenGeneration[] =>
       bursts.flatMap((burst) =>
-        burst.generations.flatMap((generation, index): Place[] =>
+        burst.generations.flatMap((generation, index): OpenGeneration[] =>
           (generation.state === 'waiting' && !burst.ended) || generation.state === 'begun'
             ? [{ burst, index, generation }]
             : [],
         ),
       );
-    const id = (p: Place): string => `${p.burst.spec.key}.${p.index}`;
-    /** Says what became of a mark until the core has taken it, or knows better. */
-    const settle = async (p: Place, step: Step, out: ReturnType<typeof Takes.outcome>): Promise<void> => {
-      const base = { do: 'settle' as const, id: p.burst.spec.key, index: p.index, mark: step.mark, turn: step.turn };
+    const idOf = (open: OpenGeneration): string => `${open.burst.spec.key}.${open.index}`;
+    /** Reports the result of a send until the core has accepted it or has a definite reason to refuse it. */
+    const reportResult = async (
+      open: OpenGeneration,
+      record: SendRecord,
+      outcome: ReturnType<typeof Takes.outcome>,
+    ): Promise<void> => {
+      const base = {
+        do: 'settle' as const,
+        id: open.burst.spec.key,
+        index: open.index,
+        mark: record.mark,
+        turn: record.turn,
+      };
       for (;;) {
-        const { verdict } = (await t.line.write({ ...base, ...out }, WRITE)).ruling;
+        const { verdict } = (await deps.controlClient.write({ ...base, ...outcome }, WRITE_TIMEOUT_MS)).ruling;
         if (verdict.ran === 'yes' || (verdict.ran === 'no' && verdict.code !== 'unready' && verdict.code !== 'full'))
           return;
-        await Timer.nap(t.world.clock, AGAIN);
+        await Timer.nap(deps.world.clock, SETTLE_RETRY_MS);
       }
     };
-    const send = async (p: Place, rule: Rule, step: Step): Promise<void> => {
-      const { spec } = p.burst,
-        prompt = spec.prompts[Math.floor(p.index / spec.samples)]!;
+    const send = async (open: OpenGeneration, route: Rule, record: SendRecord): Promise<void> => {
+      const { spec } = open.burst,
+        prompt = spec.prompts[Math.floor(open.index / spec.samples)]!;
       const take = Takes.make();
-      const request: Request = { key: `${id(p)}.${step.mark}`, attempt: step.turn, rule: rule.name, ...prompt };
-      const out = Takes.outcome(await t.run(request, take.sink), take);
-      if (out.to === 'unrun') {
-        pause = now() + PAUSE;
-        back.add(id(p));
+      const request: Request = {
+        key: `${idOf(open)}.${record.mark}`,
+        attempt: record.turn,
+        rule: route.name,
+        ...prompt,
+      };
+      const outcome = Takes.outcome(await deps.run(request, take.sink), take);
+      if (outcome.to === 'unrun') {
+        pausedUntil = now() + BACKOFF_MS;
+        returned.add(idOf(open));
       }
-      t.world.tell({ what: 'generation', burst: spec.key, index: p.index, mark: step.mark, to: out.to });
-      await settle(p, step, out);
+      deps.world.tell({
+        what: 'generation',
+        burst: spec.key,
+        index: open.index,
+        mark: record.mark,
+        to: outcome.to,
+      });
+      await reportResult(open, record, outcome);
     };
-    const start = async (p: Place, rule: Rule): Promise<void> => {
-      const fence = t.duty.fence(Shards.of(p.burst.spec.key)),
-        g = p.generation;
+    const start = async (open: OpenGeneration, route: Rule): Promise<void> => {
+      const fence = deps.duty.fence(Shards.of(open.burst.spec.key)),
+        generation = open.generation;
       if (fence === null) return;
-      const waits = g.state === 'waiting';
-      const step = { mark: waits ? g.mark + 1 : g.mark, turn: waits ? 1 : g.turn + 1, fence };
-      const left = unsaid.get(id(p));
-      unsaid.delete(id(p));
-      if (!waits && left && left.mark === g.mark && left.turn === g.turn && left.fence === g.fence)
-        return send(p, rule, left);
-      const { ruling } = await t.line.write({ do: 'mark', id: p.burst.spec.key, index: p.index, ...step }, WRITE);
-      if (ruling.verdict.ran === 'maybe') unsaid.set(id(p), step);
+      const isWaiting = generation.state === 'waiting';
+      const record = {
+        mark: isWaiting ? generation.mark + 1 : generation.mark,
+        turn: isWaiting ? 1 : generation.turn + 1,
+        fence,
+      };
+      const earlier = unconfirmed.get(idOf(open));
+      unconfirmed.delete(idOf(open));
+      if (
+        !isWaiting &&
+        earlier &&
+        earlier.mark === generation.mark &&
+        earlier.turn === generation.turn &&
+        earlier.fence === generation.fence
+      )
+        return send(open, route, earlier);
+      const { ruling } = await deps.controlClient.write(
+        { do: 'mark', id: open.burst.spec.key, index: open.index, ...record },
+        WRITE_TIMEOUT_MS,
+      );
+      if (ruling.verdict.ran === 'maybe') unconfirmed.set(idOf(open), record);
       if (ruling.verdict.ran !== 'yes') {
-        pause = now() + PAUSE;
-        if (waits && g.mark > 0) back.add(id(p));
+        pausedUntil = now() + BACKOFF_MS;
+        if (isWaiting && generation.mark > 0) returned.add(idOf(open));
         return;
       }
-      await send(p, rule, step);
+      await send(open, route, record);
     };
     const fill = (): void => {
-      if (off || now() < pause) return;
-      for (const p of places()) {
-        const rule = ruleOf(p.burst),
-          name = id(p);
-        if (!rule) continue;
-        if (hand.has(name) || !known.has(name)) {
-          if (back.has(name)) return;
+      if (stopped || now() < pausedUntil) return;
+      for (const open of openGenerations()) {
+        const route = routeOf(open.burst),
+          id = idOf(open);
+        if (!route) continue;
+        if (inProgress.has(id) || !upToDate.has(id)) {
+          if (returned.has(id)) return;
           continue;
         }
-        if (hand.size * rule.weight + rule.weight > t.room(rule)) return;
-        hand.add(name);
-        back.delete(name);
-        t.world.tell({ what: 'taken', burst: p.burst.spec.key, index: p.index, mark: p.generation.mark });
-        void start(p, rule).finally(() => {
-          hand.delete(name);
-          known.delete(name);
+        if (inProgress.size * route.weight + route.weight > deps.capacity(route)) return;
+        inProgress.add(id);
+        returned.delete(id);
+        deps.world.tell({
+          what: 'taken',
+          burst: open.burst.spec.key,
+          index: open.index,
+          mark: open.generation.mark,
+        });
+        void start(open, route).finally(() => {
+          inProgress.delete(id);
+          upToDate.delete(id);
           void read();
         });
       }
@@ -119,46 +165,51 @@
     const read = async (): Promise<void> => {
       if (reading) return;
       reading = true;
-      const mine = (key: string): boolean => t.duty.fence(Shards.of(key)) !== null;
-      const all = await t.line.bursts({}, 0);
-      if (!all) {
+      const holdsLease = (key: string): boolean => deps.duty.fence(Shards.of(key)) !== null;
+      const reply = await deps.controlClient.bursts({}, 0);
+      if (!reply) {
         reading = false;
         return;
       }
-      const held = all.list
-        .filter((b) => !b.gone && b.waiting + b.begun > 0 && mine(b.key))
+      const ownBursts = reply.list
+        .filter((b) => !b.gone && b.waiting + b.begun > 0 && holdsLease(b.key))
         .sort((a, b) => a.order - b.order);
-      const next: Burst[] = [];
-      const early = new Set(hand),
+      const nextBursts: Burst[] = [];
+      const inProgressBefore = new Set(inProgress),
         unread = new Set<string>();
-      for (const b of held) {
-        const got = await t.line.bursts({ key: b.key }, 0);
-        const burst = got ? got.burst : bursts.find((x) => x.spec.key === b.key);
-        if (burst) next.push(burst);
-        if (!got) unread.add(b.key);
+      for (const summary of ownBursts) {
+        const details = await deps.controlClient.bursts({ key: summary.key }, 0);
+        const burst = details ? details.burst : bursts.find((x) => x.spec.key === summary.key);
+        if (burst) nextBursts.push(burst);
+        if (!details) unread.add(summary.key);
       }
-      bursts = next;
-      const open = places();
-      const sure = open.filter((p) => !early.has(id(p)) && (!unread.has(p.burst.spec.key) || known.has(id(p))));
-      known = new Set(sure.map(id));
-      for (const name of back)
-        if (!open.some((p) => id(p) === name) && !hand.has(name) && back.delete(name))
-          t.world.tell({ what: 'passedon', name });
+      bursts = nextBursts;
+      const open = openGenerations();
+      const current = open.filter(
+        (g) => !inProgressBefore.has(idOf(g)) && (!unread.has(g.burst.spec.key) || upToDate.has(idOf(g))),
+      );
+      upToDate = new Set(current.map(idOf));
+      for (const name of returned)
+        if (!open.some((g) => idOf(g) === name) && !inProgress.has(name) && returned.delete(name))
+          deps.world.tell({ what: 'passedon', name });
       reading = false;
       fill();
     };
     return {
-      names: (): readonly string[] => (t.charter()?.lending ? Shards.names : []),
-      /** The first burst that has something to begin, or something in hand; null when nothing needs a loan. */
+      leaseNames: (): readonly string[] => (deps.configuration()?.lending ? Shards.names : []),
+      /** The first burst that has a generation to start or in progress; null if no loan is needed. */
       need(): { burst: string; order: number } | null {
-        const first = off ? undefined : places().find((p) => ruleOf(p.burst) !== null);
+        const first = stopped ? undefined : openGenerations().find((g) => routeOf(g.burst) !== null);
         return first ? { burst: first.burst.spec.key, order: first.burst.order } : null;
       },
-      hand: (): number => hand.size,
+      /** Number of generations in progress. */
+      inProgress: (): number => inProgress.size,
+      /** Starts generations in order while there is capacity. */
       fill,
+      /** Reads the bursts of this daemon's shards from the core, then starts what can be started. */
       read,
       stop(): void {
-        off = true;
+        stopped = true;
       },
     };
   },
--- a/packages/counter/src/lending/spare.test.ts
+++ b/packages/counter/src/lending/spare.test.ts
@@ -6,28 +6,44 @@
 const rows: SheetRow[] = (['prefill', 'decode', 'decode', 'decode'] as const).map((part, i) => ({
   ...{ server: `m${i + 1}`, born: 'x', part, stage: i === 3 ? 'dark' : 'serving', by: 'e1' },
 }));
-const charter = (most: number, keep: number): Charter => ({
+const configuration = (fraction: number, reserve: number): Charter => ({
   sites: ['s'],
   rules: [],
   servers: [8, 4, 8, 8].map((slots, i) => ({ id: `m${i + 1}`, site: 's', part: 'either', slots })),
   casting: { prefill: 1, floor: { prefill: 1, decode: 1 }, swing: false, calm: 1000 },
-  lending: { rules: ['r'], most: { prefill: most, decode: most }, keep: { prefill: keep, decode: keep }, length: 900 },
+  lending: {
+    rules: ['r'],
+    most: { prefill: fraction, decode: fraction },
+    keep: { prefill: reserve, decode: reserve },
+    length: 900,
+  },
 });
 const cases: [string, Charter, { read: number; write: number }, number[]][] = [
-  ['all of a share, by size, none of a dark server', charter(0.5, 0), { read: 0, write: 0 }, [4, 2, 4, 0]],
-  ['what is left beside what is kept', charter(1, 3), { read: 0, write: 0 }, [5, 3, 6, 0]],
-  ['what is left beside live work, part by part', charter(1, 0), { read: 8, write: 6 }, [0, 2, 4, 0]],
-  ['nothing where live work takes more than all', charter(1, 0), { read: 99, write: 99 }, [0, 0, 0, 0]],
-  ['nothing by a share of nothing', charter(0, 0), { read: 0, write: 0 }, [0, 0, 0, 0]],
-  ['nothing without the clause', { ...charter(1, 0), lending: undefined }, { read: 0, write: 0 }, [0, 0, 0, 0]],
+  [
+    'the configured fraction, by size, and nothing of a dark server',
+    configuration(0.5, 0),
+    { read: 0, write: 0 },
+    [4, 2, 4, 0],
+  ],
+  ['what is left beside the reserve', configuration(1, 3), { read: 0, write: 0 }, [5, 3, 6, 0]],
+  ['what is left beside live requests, for each stage', configuration(1, 0), { read: 8, write: 6 }, [0, 2, 4, 0]],
+  ['nothing if live requests need more than all slots', configuration(1, 0), { read: 99, write: 99 }, [0, 0, 0, 0]],
+  ['nothing if the configured fraction is zero', configuration(0, 0), { read: 0, write: 0 }, [0, 0, 0, 0]],
+  [
+    'nothing if lending is not configured',
+    { ...configuration(1, 0), lending: undefined },
+    { read: 0, write: 0 },
+    [0, 0, 0, 0],
+  ],
 ];
 
-describe('What is spare', () => {
-  for (const [name, c, load, want] of cases)
-    it(`is ${name}`, () => expect(rows.map((r) => Spare.slots(c, rows, load, r.server))).to.deep.equal(want));
-  it('sums to no more than the share, whatever the load', () => {
+describe('SpareCapacity', () => {
+  for (const [name, config, load, expected] of cases)
+    it(`lends ${name}`, () =>
+      expect(rows.map((r) => Spare.slots(config, rows, load, r.server))).to.deep.equal(expected));
+  it('lends no more in sum than the configured fraction, whatever the load', () => {
     for (let write = 0; write <= 12; write++) {
-      const sum = ['m2', 'm3'].reduce((n, s) => n + Spare.slots(charter(0.7, 1), rows, { read: 0, write }, s), 0);
+      const sum = ['m2', 'm3'].reduce((n, s) => n + Spare.slots(configuration(0.7, 1), rows, { read: 0, write }, s), 0);
       expect(sum).to.be.at.most(Math.max(0, Math.min(12 * 0.7, 11 - write)));
     }
   });
--- a/packages/counter/src/loadbook.ts
+++ b/packages/counter/src/loadbook.ts
@@ -1,4 +1,4 @@
 import type { Loads } from './loads.js';
 
-/** The loads, as the other parts see them. */
+/** This daemon's load on the servers, as other modules use it. */
 export type LoadBook = ReturnType<typeof Loads.make>;
--- a/packages/counter/src/loads.ts
+++ b/packages/counter/src/loads.ts
@@ -1,33 +1,35 @@
 import { Indices } from '@pumicebarrow/forms';
 
 /**
- * What this daemon has under way at each server, in weights, and how long hand-overs between two servers took.
- * Invariants: `held` and the rows of `links` are indexed by the server's dense index; no load is below zero.
+ * This daemon's requests in flight at each server, as a sum of weights, and a moving average of how long the hand-over
+ * of a KV cache between two servers takes. Invariants: `weights` and the rows of `handovers` are indexed by the
+ * server's dense index; no load is below zero.
  */
 export const Loads = {
   make() {
     const index = Indices.make();
-    const held: number[] = [];
-    const links: number[][] = [];
+    const weights: number[] = [];
+    const handovers: number[][] = [];
     return {
-      at: (id: string): number => held[index.of(id)] ?? 0,
+      at: (id: string): number => weights[index.of(id)] ?? 0,
+      /** Adds the weight to the server's load; the function returned takes it away, once. */
       take(id: string, weight: number): () => void {
         const i = index.of(id);
-        held[i] = (held[i] ?? 0) + weight;
-        let open = true;
+        weights[i] = (weights[i] ?? 0) + weight;
+        let counted = true;
         return () => {
-          if (open) held[i] = Math.max(0, (held[i] ?? 0) - weight);
-          open = false;
+          if (counted) weights[i] = Math.max(0, (weights[i] ?? 0) - weight);
+          counted = false;
         };
       },
-      link: (from: string, to: string): number => links[index.of(from)]?.[index.of(to)] ?? 0,
+      handoverMs: (from: string, to: string): number => handovers[index.of(from)]?.[index.of(to)] ?? 0,
       timed(from: string, to: string, ms: number): void {
-        const i = index.of(from),
-          j = index.of(to),
-          row = links[i] ?? [];
-        const old = row[j];
-        row[j] = old === undefined ? ms : old * 0.7 + ms * 0.3;
-        links[i] = row;
+        const fromIndex = index.of(from),
+          toIndex = index.of(to),
+          row = handovers[fromIndex] ?? [];
+        const average = row[toIndex];
+        row[toIndex] = average === undefined ? ms : average * 0.7 + ms * 0.3;
+        handovers[fromIndex] = row;
       },
     };
   },
--- a/packages/counter/src/machines.test.ts
+++ b/packages/counter/src/machines.test.ts
@@ -3,10 +3,10 @@
 import { DaemonLife } from './daemonlife.js';
 import { RequestLife } from './requestlife.js';
 
-const run = (m: Machine, events: string[]): string => {
-  const s = interpret(m, () => undefined);
-  for (const e of events) s.send(e as never);
-  return String(s.machine.current);
+const stateAfter = (machine: Machine, events: string[]): string => {
+  const service = interpret(machine, () => undefined);
+  for (const event of events) service.send(event as never);
+  return String(service.machine.current);
 };
 const requests: [string, string][] = [
   ['turn marked read send piece piece whole', 'ended'],
@@ -37,9 +37,10 @@
 ];
 
 describe('RequestLife', () => {
-  for (const [e, end] of requests)
-    it(`${e} leads to ${end}`, () => expect(run(RequestLife, e.split(' '))).to.equal(end));
+  for (const [events, state] of requests)
+    it(`${events} leads to ${state}`, () => expect(stateAfter(RequestLife, events.split(' '))).to.equal(state));
 });
 describe('DaemonLife', () => {
-  for (const [e, end] of lives) it(`${e} leads to ${end}`, () => expect(run(DaemonLife, e.split(' '))).to.equal(end));
+  for (const [events, state] of lives)
+    it(`${events} leads to ${state}`, () => expect(stateAfter(DaemonLife, events.split(' '))).to.equal(state));
 });
--- a/packages/counter/src/met.ts
+++ b/packages/counter/src/met.ts
@@ -1,20 +1,20 @@
 import { Fading, type Clock, type Ident } from '@pumicebarrow/forms';
 
-const KEEP = 180_000;
-const MOST = 512;
+const RETENTION_MS = 180_000;
+const MAX_DAEMONS = 512;
 
 /**
- * Daemons that were known here lately, so that one which has fallen silent is still named to operators.
- * Invariant: one an id, the latest life; a daemon that is gone for good is named for three minutes.
+ * Daemons that this one knew of lately, so that operators are still shown a daemon that has stopped answering.
+ * Invariant: one entry per id, with its latest incarnation; a daemon that is gone for good is shown for three minutes.
  */
 export const Met = {
   make(clock: Clock, known: () => readonly Ident[]) {
-    const held = Fading.make<Ident>(clock.mono, MOST);
+    const recent = Fading.make<Ident>(clock.mono, MAX_DAEMONS);
     return {
       tick(): void {
-        for (const k of known()) held.set(k.id, k, KEEP);
+        for (const ident of known()) recent.set(ident.id, ident, RETENTION_MS);
       },
-      all: (): Ident[] => held.all(),
+      all: (): Ident[] => recent.all(),
     };
   },
 };
--- a/packages/counter/src/mixer.ts
+++ b/packages/counter/src/mixer.ts
@@ -5,70 +5,92 @@
 import { Target } from './target.js';
 import type { TownView } from './townview.js';
 
+/** Weight of requests that want or use a server, by stage: `read` is prefill, `write` is decode. */
 type Load = { read: number; write: number };
-const GAIN = 0.85;
-const BUSY = 0.6;
-const TIMES = 4;
-const BACK = 2;
+/** A change must bring the utilization of the busier stage below this ratio of what it is. */
+const REQUIRED_GAIN_RATIO = 0.85;
+/** Below this utilization of the busier stage nothing is changed. */
+const MIN_UTILIZATION_RATIO = 0.6;
+/** How many ticks in a row must favour the same change. */
+const MIN_CONSECUTIVE_TICKS = 4;
+/** Factor on the pause before a change that reverts the previous one. */
+const REVERSAL_PAUSE_FACTOR = 2;
 
 /**
- * Says how many servers should read. Invariant: the number moves by one, only after the same lean was seen several
- * times running, only if the busier part would be clearly less busy for it, and never twice within the charter's calm;
- * so under a steady load it comes to rest. A move that undoes the last one waits twice as long.
+ * Decides how many servers run prefill. Invariant: the number changes by one, only after several ticks in a row have
+ * favoured the same direction, only if the busier stage would be clearly less utilized for it, and never twice within
+ * the configured `calm` period; so it settles under a steady load. A change that reverts the previous one waits twice
+ * as long.
  */
 export const Mixer = {
-  make(t: {
+  make(deps: {
     world: World;
+    /** Configuration and stage assignments. */
     sheet: SheetView;
+    /** Backend inventory. */
     town: TownView;
+    /** Named leases held by this daemon. */
     duty: Duties;
+    /** Gossip by which the target is published. */
     purge: Purging;
+    /** Load of the whole fleet. */
     load: () => Load;
     self: () => string;
   }) {
-    let lean = 0;
-    let moved = -Infinity;
-    let last = 0;
+    /** Number of ticks in a row that favoured more (positive) or fewer (negative) prefill servers. */
+    let trend = 0;
+    let lastChangeAt = -Infinity;
+    let lastDirection = 0;
     return {
+      /** Name of the lease under which the target is published. */
       name: 'mix',
       tick(): void {
-        const c = t.sheet.charter(),
-          fence = t.duty.fence('mix');
-        if (!c || fence === null || !c.casting.swing) {
-          lean = 0;
+        const configuration = deps.sheet.charter(),
+          fence = deps.duty.fence('mix');
+        if (!configuration || fence === null || !configuration.casting.swing) {
+          trend = 0;
           return;
         }
-        const rows = [...t.sheet.rows().values()]
+        const rows = [...deps.sheet.rows().values()]
           .map((r) => r.row)
-          .filter((r) => r.stage !== 'dark' && t.town.good(r.server, r.born));
-        const slots = (p: string): number =>
+          .filter((r) => r.stage !== 'dark' && deps.town.good(r.server, r.born));
+        const slotsOf = (stage: string): number =>
           rows
-            .filter((r) => r.part === p)
-            .reduce((a, r) => a + (c.servers.find((s) => s.id === r.server)?.slots ?? 1), 0);
-        const load = t.load(),
-          one = (slots('prefill') + slots('decode')) / Math.max(1, rows.length);
-        /** How busy the busier part would be with `by` more readers. */
-        const worst = (by: number): number => {
-          const p = slots('prefill') + by * one,
-            d = slots('decode') - by * one;
-          return p <= 0 || d <= 0 ? Infinity : Math.max(load.read / p, load.write / d);
+            .filter((r) => r.part === stage)
+            .reduce((a, r) => a + (configuration.servers.find((s) => s.id === r.server)?.slots ?? 1), 0);
+        const load = deps.load(),
+          slotsPerServer = (slotsOf('prefill') + slotsOf('decode')) / Math.max(1, rows.length);
+        /** Utilization of the busier stage if `change` more servers ran prefill. */
+        const maxUtilization = (change: number): number => {
+          const prefillSlots = slotsOf('prefill') + change * slotsPerServer,
+            decodeSlots = slotsOf('decode') - change * slotsPerServer;
+          return prefillSlots <= 0 || decodeSlots <= 0
+            ? Infinity
+            : Math.max(load.read / prefillSlots, load.write / decodeSlots);
         };
-        const here = worst(0),
-          now = here < BUSY ? 0 : worst(1) < here * GAIN ? 1 : worst(-1) < here * GAIN ? -1 : 0;
-        lean = now === 0 ? 0 : Math.sign(lean) === now ? lean + now : now;
-        const calm = c.casting.calm * (Math.sign(lean) === -last ? BACK : 1);
-        if (Math.abs(lean) < TIMES || t.world.clock.mono() - moved < calm) return;
-        const held = t.sheet.mix()?.prefill ?? c.casting.prefill;
-        const way = Math.sign(lean),
-          next = Target.count(c, held + way, rows.length);
-        lean = 0;
-        if (next === held) return;
-        moved = t.world.clock.mono();
-        last = way;
-        const old = t.sheet.mark('mix');
-        const step = old && old[0] === fence ? old[1] + 1 : 0;
-        t.purge.publish({ name: 'mix', mark: [fence, step], body: { prefill: next, by: t.self() } });
-        t.world.tell({ what: 'mix', prefill: next });
+        const current = maxUtilization(0),
+          favoured =
+            current < MIN_UTILIZATION_RATIO
+              ? 0
+              : maxUtilization(1) < current * REQUIRED_GAIN_RATIO
+                ? 1
+                : maxUtilization(-1) < current * REQUIRED_GAIN_RATIO
+                  ? -1
+                  : 0;
+        trend = favoured === 0 ? 0 : Math.sign(trend) === favoured ? trend + favoured : favoured;
+        const pauseMs = configuration.casting.calm * (Math.sign(trend) === -lastDirection ? REVERSAL_PAUSE_FACTOR : 1);
+        if (Math.abs(trend) < MIN_CONSECUTIVE_TICKS || deps.world.clock.mono() - lastChangeAt < pauseMs) return;
+        const currentCount = deps.sheet.mix()?.prefill ?? configuration.casting.prefill;
+        const direction = Math.sign(trend),
+          nextCount = Target.prefillCount(configuration, currentCount + direction, rows.length);
+        trend = 0;
+        if (nextCount === currentCount) return;
+        lastChangeAt = deps.world.clock.mono();
+        lastDirection = direction;
+        const previous = deps.sheet.stamp('mix');
+        const step = previous && previous[0] === fence ? previous[1] + 1 : 0;
+        deps.purge.publish({ name: 'mix', mark: [fence, step], body: { prefill: nextCount, by: deps.self() } });
+        deps.world.tell({ what: 'mix', prefill: nextCount });
       },
     };
   },
--- a/packages/counter/src/newest.ts
+++ b/packages/counter/src/newest.ts
@@ -2,58 +2,65 @@
 import { Slips, type Holding, type Purging } from '@pumicebarrow/purge';
 import type { ControlClient } from '@pumicebarrow/registry';
 
-type Tools = {
+type Dependencies = {
   world: World;
   post: PostBox;
   line: ControlClient;
+  /** Gossip, through which a configuration found is stored and passed on. */
   purge: Purging;
   shelf: Holding;
   self: () => Ident;
   known: () => readonly Ident[];
-  /** How often this daemon has slept, as looked for now. */
+  /** How often this daemon has been suspended, checked now. */
   slept: () => number;
 };
-/** ms within which a daemon meets the others by gossip, and a charter in force comes to all that are linked. */
-const MEET = 2000;
+/** Time in which a daemon meets its peers by gossip and a configuration in force reaches all that are connected. */
+const GOSSIP_SPREAD_MS = 2000;
 
 /**
- * Seeks the newest charter outside a gossip: at the tail, or, with the core cut off, from a majority of known daemons.
- * Invariant: `sure` is said only when no charter in force when the search began is newer than the one now held, and
- * nothing was slept through since then: a reply may have waited for us to wake. One that has just started knows too few
- * to believe a majority of them.
+ * Finds the newest configuration without waiting for gossip: at the tail of the chain or, if the control replicas can
+ * not be reached, from a majority of the known daemons. Invariant: `confirmNewest` is true only if no configuration in
+ * force when the search began is newer than the one now stored, and this daemon was not suspended since then (a reply
+ * may have waited for it to resume). A daemon that has just started knows too few peers to trust a majority of them.
  */
 export const Newest = {
-  make(t: Tools) {
-    const started = t.world.clock.mono();
-    const tail = async (ms: number): Promise<boolean> => {
-      const got = await t.line.read(undefined, ms);
-      if (!got) return false;
-      const c = got.charter;
-      if (c)
-        t.purge.learn(
-          { name: 'charter', mark: [c.version, 0], body: { version: c.version, plan: c.plan, charter: c.body } },
+  make(deps: Dependencies) {
+    const startedAt = deps.world.clock.mono();
+    const readTail = async (timeoutMs: number): Promise<boolean> => {
+      const reply = await deps.line.read(undefined, timeoutMs);
+      if (!reply) return false;
+      const latest = reply.charter;
+      if (latest)
+        deps.purge.learn(
+          {
+            name: 'charter',
+            mark: [latest.version, 0],
+            body: { version: latest.version, plan: latest.plan, charter: latest.body },
+          },
           'tail',
         );
       return true;
     };
-    const most = async (): Promise<boolean> => {
-      if (t.world.clock.mono() - started < MEET) return false;
-      const others = t.known().filter((k) => k.role === 'counter' && k.id !== t.self().id);
-      const got = await Promise.all(
-        others.map((o) => t.post.ask(o.addr, o.id, 'purge.pull', { name: 'charter' }, Slips.pulled, 400)),
+    const readMajority = async (): Promise<boolean> => {
+      if (deps.world.clock.mono() - startedAt < GOSSIP_SPREAD_MS) return false;
+      const others = deps.known().filter((k) => k.role === 'counter' && k.id !== deps.self().id);
+      const replies = await Promise.all(
+        others.map((o) => deps.post.ask(o.addr, o.id, 'purge.pull', { name: 'charter' }, Slips.pulled, 400)),
       );
-      const heard = got.flatMap((g) => (g.ok ? [g.val.doc] : []));
-      if (heard.length + 1 <= (others.length + 1) / 2) return false;
-      const best = heard.filter((d): d is Doc => d !== null).sort((a, b) => Order.cmp(b.mark, a.mark))[0];
-      if (best) t.purge.learn(best, 'majority');
-      return t.shelf.get('charter') !== null;
+      const received = replies.flatMap((r) => (r.ok ? [r.val.doc] : []));
+      if (received.length + 1 <= (others.length + 1) / 2) return false;
+      const newest = received.filter((d): d is Doc => d !== null).sort((a, b) => Order.cmp(b.mark, a.mark))[0];
+      if (newest) deps.purge.learn(newest, 'majority');
+      return deps.shelf.get('charter') !== null;
     };
     return {
+      /** Fetches the newest configuration; true if the one now stored is known to be the newest. */
       async sure(): Promise<boolean> {
-        const before = t.slept();
-        return ((await tail(600)) || (await most())) && t.slept() === before;
+        const suspensionsBefore = deps.slept();
+        return ((await readTail(600)) || (await readMajority())) && deps.slept() === suspensionsBefore;
       },
-      tail,
+      /** Fetches the configuration from the tail of the chain; false if it did not answer. */
+      tail: readTail,
     };
   },
 };
--- a/packages/counter/src/queue.test.ts
+++ b/packages/counter/src/queue.test.ts
@@ -3,7 +3,7 @@
 import { Bucket } from './bucket.js';
 import { Queue } from './queue.js';
 
-const rule = (name: string, urgency: number): Rule => ({
+const route = (name: string, urgency: number): Rule => ({
   name,
   weight: 1,
   urgency,
@@ -13,13 +13,13 @@
   pieces: 1,
   bytes: 1,
 });
-const review = rule('review', 1),
-  verdict = rule('verdict', 9);
+const review = route('review', 1),
+  verdict = route('verdict', 9);
 
 describe('Queue', () => {
-  const make = () => {
+  const setup = () => {
     const timers: { at: number; fn: () => void }[] = [];
-    const list = Queue.make({
+    const queue = Queue.make({
       mono: () => 0,
       wall: () => 0,
       after: (at, fn) => {
@@ -27,17 +27,17 @@
         return () => undefined;
       },
     });
-    const went: string[] = [];
-    const enter = (name: string, r: Rule, due: number) => {
-      const w = list.enter(r, due);
-      void w.turn.then((go) => went.push(go ? name : `${name} given up`));
-      return w;
+    const outcomes: string[] = [];
+    const enter = (name: string, route: Rule, due: number) => {
+      const entry = queue.enter(route, due);
+      void entry.turn.then((granted) => outcomes.push(granted ? name : `${name} given up`));
+      return entry;
     };
-    return { list, enter, went, timers };
+    return { queue, enter, outcomes, timers };
   };
   const cases: [string, [string, Rule, number][], number, string[]][] = [
     [
-      'the urgent first',
+      'the most urgent first',
       [
         ['r', review, 5],
         ['v', verdict, 900],
@@ -46,7 +46,7 @@
       ['v', 'r'],
     ],
     [
-      'then the one due soonest',
+      'then the earliest deadline',
       [
         ['a', review, 500],
         ['b', review, 300],
@@ -55,7 +55,7 @@
       ['b', 'a'],
     ],
     [
-      'then the first to come',
+      'then the first to arrive',
       [
         ['a', review, 500],
         ['b', review, 500],
@@ -64,7 +64,7 @@
       ['a', 'b'],
     ],
     [
-      'only as many as there is room for',
+      'to only as many as there is room for',
       [
         ['a', review, 1],
         ['b', review, 2],
@@ -74,66 +74,66 @@
       ['a', 'b'],
     ],
   ];
-  for (const [name, list, room, want] of cases) {
-    it(`gives turns: ${name}`, async () => {
-      const t = make();
-      for (const [n, r, due] of list) t.enter(n, r, due);
-      let left = room;
-      t.list.pump(() => left-- > 0);
+  for (const [name, entries, room, expected] of cases) {
+    it(`grants turns: ${name}`, async () => {
+      const s = setup();
+      for (const [entryName, entryRoute, due] of entries) s.enter(entryName, entryRoute, due);
+      let roomLeft = room;
+      s.queue.pump(() => roomLeft-- > 0);
       await Promise.resolve();
-      expect(t.went).to.deep.equal(want);
+      expect(s.outcomes).to.deep.equal(expected);
     });
   }
   const waits: [string, number, number, number, number][] = [
-    ['nothing known yet', 0, 20, 1, 0],
-    ['few ahead', 10, 3, 1, 0],
-    ['many ahead of the least urgent', 10, 20, 1, 600],
-    ['none ahead of the most urgent', 10, 20, 9, 0],
+    ['zero if no turns were granted yet', 0, 20, 1, 0],
+    ['zero with few requests ahead', 10, 3, 1, 0],
+    ['by the rate of turns for the least urgent', 10, 20, 1, 600],
+    ['zero for the most urgent', 10, 20, 9, 0],
   ];
-  for (const [name, given, ahead, urgency, want] of waits) {
-    it(`foresees a wait: ${name}`, () => {
-      const t = make();
-      for (let i = 0; i < given; i++) t.enter('x', review, 9);
-      t.list.pump(() => true);
-      for (let i = 0; i < ahead; i++) t.enter('y', review, 9);
-      expect(t.list.foresee(urgency)).to.equal(want);
+  for (const [name, granted, ahead, urgency, expected] of waits) {
+    it(`estimates the wait: ${name}`, () => {
+      const s = setup();
+      for (let i = 0; i < granted; i++) s.enter('x', review, 9);
+      s.queue.pump(() => true);
+      for (let i = 0; i < ahead; i++) s.enter('y', review, 9);
+      expect(s.queue.foresee(urgency)).to.equal(expected);
     });
   }
-  it('does not let one without room hold up those behind it', async () => {
-    const t = make();
-    t.enter('v', verdict, 1);
-    t.enter('r', review, 2);
-    t.list.pump((r) => r.name === 'review');
+  it('does not let a request without room block those behind it', async () => {
+    const s = setup();
+    s.enter('v', verdict, 1);
+    s.enter('r', review, 2);
+    s.queue.pump((r) => r.name === 'review');
     await Promise.resolve();
-    expect(t.went).to.deep.equal(['r']);
-    expect(t.list.length('verdict')).to.equal(1);
+    expect(s.outcomes).to.deep.equal(['r']);
+    expect(s.queue.length('verdict')).to.equal(1);
   });
-  it('gives up at the due time, at once and once', async () => {
-    const t = make();
-    t.enter('a', review, 700);
-    expect(t.timers[0]!.at).to.equal(700);
-    t.timers[0]!.fn();
-    t.list.pump(() => true);
+  it('fails a request once, at its deadline', async () => {
+    const s = setup();
+    s.enter('a', review, 700);
+    expect(s.timers[0]!.at).to.equal(700);
+    s.timers[0]!.fn();
+    s.queue.pump(() => true);
     await Promise.resolve();
-    expect(t.went).to.deep.equal(['a given up']);
-    expect(t.list.total()).to.equal(0);
+    expect(s.outcomes).to.deep.equal(['a given up']);
+    expect(s.queue.total()).to.equal(0);
   });
 });
 
-describe('Bucket', () => {
-  it('starts empty and never gives more than a fifth of the requests', () => {
-    const b = Bucket.make(0.2, 3);
-    let taken = b.take() ? 1 : 0;
+describe('RetryBudget', () => {
+  it('starts empty and never allows more retries than a fifth of the requests', () => {
+    const budget = Bucket.make(0.2, 3);
+    let retries = budget.take() ? 1 : 0;
     for (let i = 0; i < 1000; i++) {
-      b.request();
-      if (b.take()) taken++;
+      budget.request();
+      if (budget.take()) retries++;
     }
-    expect(taken).to.be.at.most(200);
-    expect(taken).to.be.at.least(150);
+    expect(retries).to.be.at.most(200);
+    expect(retries).to.be.at.least(150);
   });
-  it('saves up no more than its cap', () => {
-    const b = Bucket.make(0.2, 3);
-    for (let i = 0; i < 1000; i++) b.request();
-    expect([1, 2, 3, 4].map(() => b.take())).to.deep.equal([true, true, true, false]);
+  it('accumulates no more tokens than its capacity', () => {
+    const budget = Bucket.make(0.2, 3);
+    for (let i = 0; i < 1000; i++) budget.request();
+    expect([1, 2, 3, 4].map(() => budget.take())).to.deep.equal([true, true, true, false]);
   });
 });
--- a/packages/counter/src/queue.ts
+++ b/packages/counter/src/queue.ts
@@ -2,75 +2,78 @@
 import { Heap } from 'heap-js';
 import type { Waiter } from './waiter.js';
 
-const LOOK = 2000;
-const FEW = 8;
-const LEAST = 300;
+/** Period over which the rate of turns is measured. */
+const RATE_WINDOW_MS = 2000;
+/** Fewer turns, or fewer requests ahead, than this give no estimate. */
+const MIN_SAMPLES = 8;
+const MIN_SPAN_MS = 300;
 
-/** The most urgent first, then the one due soonest, then the one that came first. */
+/** Priority queue of requests: the most urgent first, then by earliest deadline, then in order of arrival. */
 export const Queue = {
   make(clock: Clock) {
-    const heap = new Heap<Waiter>((a, b) => b.rule.urgency - a.rule.urgency || a.due - b.due || a.order - b.order);
+    const heap = new Heap<Waiter>(
+      (a, b) => b.rule.urgency - a.rule.urgency || a.due - b.due || a.sequence - b.sequence,
+    );
     const index = Indices.make();
-    const count: number[] = [];
-    let order = 0;
-    let weight = 0;
-    let turns: readonly number[] = [];
-    const bump = (name: string, by: number): void => {
-      const i = index.of(name);
-      count[i] = (count[i] ?? 0) + by;
+    const counts: number[] = [];
+    let nextSequence = 0;
+    let totalWeight = 0;
+    let recentTurns: readonly number[] = [];
+    const adjustCount = (routeName: string, by: number): void => {
+      const i = index.of(routeName);
+      counts[i] = (counts[i] ?? 0) + by;
     };
-    const leave = (w: Waiter, go: boolean): void => {
-      if (!w.open) return;
-      w.open = false;
-      bump(w.rule.name, -1);
-      weight -= w.rule.weight;
-      w.turn(go);
+    const remove = (waiter: Waiter, granted: boolean): void => {
+      if (!waiter.pending) return;
+      waiter.pending = false;
+      adjustCount(waiter.rule.name, -1);
+      totalWeight -= waiter.rule.weight;
+      waiter.resolve(granted);
     };
-    /** How many ms one turn has taken lately; 0 while too few were given to tell. */
-    const each = (): number => {
-      const seen = turns.filter((x) => x > clock.mono() - LOOK);
-      return seen.length < FEW ? 0 : Math.max(LEAST, clock.mono() - seen[0]!) / seen.length;
+    /** Mean time between recent turns in ms; 0 if there were too few for an estimate. */
+    const msPerTurn = (): number => {
+      const recent = recentTurns.filter((x) => x > clock.mono() - RATE_WINDOW_MS);
+      return recent.length < MIN_SAMPLES ? 0 : Math.max(MIN_SPAN_MS, clock.mono() - recent[0]!) / recent.length;
     };
     return {
-      length: (name: string): number => count[index.of(name)] ?? 0,
-      total: (): number => count.reduce((a, b) => a + b, 0),
-      weight: (): number => weight,
-      /**
-       * How long one of this urgency would wait, in ms, judged by the turns given lately; 0 when that can't be
-       * told.
-       */
+      /** Number of queued requests of a route. */
+      length: (routeName: string): number => counts[index.of(routeName)] ?? 0,
+      total: (): number => counts.reduce((a, b) => a + b, 0),
+      weight: (): number => totalWeight,
+      /** Estimated wait of a new request of this urgency in ms, by the rate of recent turns; 0 if it is unknown. */
       foresee(urgency: number): number {
-        const ahead = heap.toArray().filter((w) => w.open && w.rule.urgency >= urgency).length;
-        return ahead < FEW ? 0 : ahead * each();
+        const ahead = heap.toArray().filter((w) => w.pending && w.rule.urgency >= urgency).length;
+        return ahead < MIN_SAMPLES ? 0 : ahead * msPerTurn();
       },
-      /** Waits for a turn until `due`, then gives up at once. */
-      enter(rule: Rule, due: number): { turn: Promise<boolean>; leave: () => void } {
-        let say: (go: boolean) => void = () => undefined;
+      /** Queues a request. `turn` becomes true once it is granted, or false at the time `due` at the latest. */
+      enter(route: Rule, due: number): { turn: Promise<boolean>; leave: () => void } {
+        let resolve: (granted: boolean) => void = () => undefined;
         const turn = new Promise<boolean>((done) => {
-          say = done;
+          resolve = done;
         });
-        const w: Waiter = { rule, due, order: order++, open: true, turn: say };
-        heap.push(w);
-        bump(rule.name, 1);
-        weight += rule.weight;
-        const stop = clock.after(Math.max(0, due - clock.mono()), () => leave(w, false));
-        void turn.then(stop);
-        return { turn, leave: () => leave(w, false) };
+        const waiter: Waiter = { rule: route, due, sequence: nextSequence++, pending: true, resolve };
+        heap.push(waiter);
+        adjustCount(route.name, 1);
+        totalWeight += route.weight;
+        const cancelTimer = clock.after(Math.max(0, due - clock.mono()), () => remove(waiter, false));
+        void turn.then(cancelTimer);
+        return { turn, leave: () => remove(waiter, false) };
       },
-      /** Gives turns in order while `room` says so; one without room does not hold up those behind it. */
-      pump(room: (rule: Rule) => boolean): void {
-        const back: Waiter[] = [];
-        for (let w = heap.pop(); w; w = heap.pop()) {
-          if (!w.open) continue;
-          if (room(w.rule)) {
-            turns = [...turns.filter((x) => x > clock.mono() - LOOK), clock.mono()];
-            leave(w, true);
-          } else back.push(w);
+      /** Grants turns in order while `hasRoom` allows; a request without room does not block those behind it. */
+      pump(hasRoom: (route: Rule) => boolean): void {
+        const blocked: Waiter[] = [];
+        for (let waiter = heap.pop(); waiter; waiter = heap.pop()) {
+          if (!waiter.pending) continue;
+          if (hasRoom(waiter.rule)) {
+            recentTurns = [...recentTurns.filter((x) => x > clock.mono() - RATE_WINDOW_MS), clock.mono()];
+            remove(waiter, true);
+          } else blocked.push(waiter);
         }
-        for (const w of back) heap.push(w);
+        for (const waiter of blocked) heap.push(waiter);
       },
+      /** Fails all queued requests. */
       clear(): void {
-        for (const w of heap.toArray()) leave(w, false);
+        for (const waiter of heap.toArray()) remove(waiter, false);
       },
     };
   },
--- a/packages/counter/src/sheet.ts
+++ b/packages/counter/src/sheet.ts
@@ -4,22 +4,29 @@
 
 type Rows = ReadonlyMap<string, { row: SheetRow; mark: Doc['mark'] }>;
 
-/** What a shelf says of charter and casting. Invariant: rows are read anew only when the shelf's table was swapped. */
+/**
+ * Typed view of the records that gossip brings: configuration, stage assignments, prefill target, failure reports.
+ * Invariant: assignments are parsed anew only after the store's table has been replaced.
+ */
 export const Sheet = {
-  make(shelf: Holding) {
-    let seen: ReadonlyMap<string, Doc> | null = null;
+  make(recordStore: Holding) {
+    let parsedTable: ReadonlyMap<string, Doc> | null = null;
     let rows: Rows = new Map();
-    const body = <T>(name: string): T | null => (shelf.get(name)?.body as T | undefined) ?? null;
+    const bodyOf = <T>(name: string): T | null => (recordStore.get(name)?.body as T | undefined) ?? null;
     return {
-      charter: (): Charter | null => Intents.charter(body<CharterBody>('charter')?.charter),
-      version: (): number => shelf.mark('charter')?.[0] ?? 0,
-      mark: (name: string): Doc['mark'] | null => shelf.mark(name),
-      mix: (): Mix | null => body<Mix>('mix'),
-      sight: (server: string): Sighting | null => body<Sighting>(`sight:${server}`),
+      charter: (): Charter | null => Intents.charter(bodyOf<CharterBody>('charter')?.charter),
+      /** Version of the configuration; 0 if there is none. */
+      version: (): number => recordStore.mark('charter')?.[0] ?? 0,
+      /** Version stamp of a record. */
+      stamp: (name: string): Doc['mark'] | null => recordStore.mark(name),
+      /** Target number of prefill servers. */
+      mix: (): Mix | null => bodyOf<Mix>('mix'),
+      failureReport: (server: string): Sighting | null => bodyOf<Sighting>(`sight:${server}`),
+      /** Stage assignments by server. */
       rows(): Rows {
-        const table = shelf.table();
-        if (table !== seen) {
-          seen = table;
+        const table = recordStore.table();
+        if (table !== parsedTable) {
+          parsedTable = table;
           rows = new Map(
             [...table.values()]
               .filter((d) => d.name.startsWith('row:'))
--- a/packages/counter/src/sheetview.ts
+++ b/packages/counter/src/sheetview.ts
@@ -1,4 +1,4 @@
 import type { Sheet } from './sheet.js';
 
-/** Charter and casting, as the other parts see them. */
+/** Configuration and stage assignments, as other modules read them. */
 export type SheetView = ReturnType<typeof Sheet.make>;
--- a/packages/counter/src/shuns.ts
+++ b/packages/counter/src/shuns.ts
@@ -1,30 +1,33 @@
 import { Fading, type Clock } from '@pumicebarrow/forms';
 
-type Shun = { until: number; times: number };
-const LONGEST = 8000;
-/** How long it is remembered how often a life was shunned, and of how many lives. */
-const KEEP = 60_000;
-const MOST = 1024;
+type Ejection = { until: number; count: number };
+const MAX_EJECTION_MS = 8000;
+/** How long the number of an incarnation's ejections is remembered. */
+const RETENTION_MS = 60_000;
+/** Of how many incarnations it is remembered. */
+const MAX_ENTRIES = 1024;
 
 /**
- * Servers this daemon keeps away from, each until a moment of its own.
- * Invariants: a shun names one life of a server; the next life starts clean; lives long past are forgotten.
+ * Servers to which this daemon temporarily sends nothing; each further ejection of a server lasts twice as long.
+ * Invariants: an ejection applies to one incarnation of a server, the next one starts clean; incarnations long past are
+ * forgotten.
  */
 export const Shuns = {
   make(clock: Clock) {
-    const held = Fading.make<Shun>(clock.mono, MOST);
-    const key = (id: string, born: string): string => `${id}/${born}`;
+    const ejections = Fading.make<Ejection>(clock.mono, MAX_ENTRIES);
+    const keyOf = (id: string, incarnation: string): string => `${id}/${incarnation}`;
     return {
-      add(id: string, born: string, ms: number): void {
-        const times = (held.get(key(id, born))?.times ?? 0) + 1;
-        const until = clock.mono() + Math.min(LONGEST, ms * 2 ** (times - 1));
-        held.set(key(id, born), { until, times }, KEEP);
+      add(id: string, incarnation: string, ms: number): void {
+        const count = (ejections.get(keyOf(id, incarnation))?.count ?? 0) + 1;
+        const until = clock.mono() + Math.min(MAX_EJECTION_MS, ms * 2 ** (count - 1));
+        ejections.set(keyOf(id, incarnation), { until, count }, RETENTION_MS);
       },
-      clear(id: string, born: string): void {
-        held.delete(key(id, born));
+      clear(id: string, incarnation: string): void {
+        ejections.delete(keyOf(id, incarnation));
       },
-      has: (id: string, born: string): boolean => (held.get(key(id, born))?.until ?? -Infinity) > clock.mono(),
-      size: held.size,
+      has: (id: string, incarnation: string): boolean =>
+        (ejections.get(keyOf(id, incarnation))?.until ?? -Infinity) > clock.mono(),
+      size: ejections.size,
     };
   },
 };
--- a/packages/counter/src/sights.ts
+++ b/packages/counter/src/sights.ts
@@ -5,41 +5,53 @@
 import type { Shuns } from './shuns.js';
 import type { TownView } from './townview.js';
 
-type Tools = {
+type Dependencies = {
   world: World;
   shelf: Holding;
+  /** Configuration and stage assignments. */
   sheet: SheetView;
   shuns: ReturnType<typeof Shuns.make>;
+  /** Gossip by which reports are published. */
   purge: Purging;
+  /** Backend inventory. */
   town: TownView;
   self: string;
 };
-const SHUN = 1000;
+const EJECTION_MS = 1000;
 
 /**
- * Servers that went dark, as this daemon saw or heard. Invariant: what one daemon saw is published once for each life
- * of a server; what another saw shuns it here for half as long, since it may be their link that is down.
+ * Reports of failed servers, from this daemon's own requests and from its peers. Invariant: this daemon publishes one
+ * report per incarnation of a server; a report from a peer ejects the server here for half as long, since it may be
+ * that peer's link that has failed.
  */
 export const Sights = {
-  make(t: Tools) {
+  make(deps: Dependencies) {
     return {
-      saw(s: Listed): void {
-        t.shuns.add(s.id, s.born, SHUN);
-        const old = t.shelf.mark(`sight:${s.id}`);
-        const seen = t.sheet.sight(s.id);
-        t.world.tell({ what: 'sighted', server: s.id });
-        if (seen?.born === s.born && seen.by === t.self) return;
-        t.purge.publish({
-          name: `sight:${s.id}`,
-          mark: [(old?.[0] ?? 0) + 1, Dice.int(t.world.chance, 1e6)],
-          body: { server: s.id, born: s.born, by: t.self },
+      /** Ejects a server that failed for this daemon, and publishes a report of it. */
+      saw(server: Listed): void {
+        deps.shuns.add(server.id, server.born, EJECTION_MS);
+        const stamp = deps.shelf.mark(`sight:${server.id}`);
+        const report = deps.sheet.failureReport(server.id);
+        deps.world.tell({ what: 'sighted', server: server.id });
+        if (report?.born === server.born && report.by === deps.self) return;
+        deps.purge.publish({
+          name: `sight:${server.id}`,
+          mark: [(stamp?.[0] ?? 0) + 1, Dice.int(deps.world.chance, 1e6)],
+          body: { server: server.id, born: server.born, by: deps.self },
         });
       },
+      /** Ejects a server that a peer has reported. */
       heard(doc: Doc): void {
-        const s = t.town.all().find((x) => `sight:${x.id}` === doc.name);
-        const body = t.sheet.sight(s?.id ?? '');
-        if (!s || body?.born !== s.born || body.by === t.self || t.shuns.has(s.id, s.born)) return;
-        t.shuns.add(s.id, s.born, SHUN / 2);
+        const server = deps.town.all().find((x) => `sight:${x.id}` === doc.name);
+        const report = deps.sheet.failureReport(server?.id ?? '');
+        if (
+          !server ||
+          report?.born !== server.born ||
+          report.by === deps.self ||
+          deps.shuns.has(server.id, server.born)
+        )
+          return;
+        deps.shuns.add(server.id, server.born, EJECTION_MS / 2);
       },
     };
   },
--- a/packages/counter/src/target.ts
+++ b/packages/counter/src/target.ts
@@ -1,44 +1,55 @@
 import { Lot, type Charter } from '@pumicebarrow/forms';
 
-type Part = 'prefill' | 'decode';
-type Live = { id: string; part: Part | null };
+type Stage = 'prefill' | 'decode';
+type LiveServer = { id: string; part: Stage | null };
 
 /**
- * Which part a server should play. Pure, so that every duty holder comes to the same.
- * Invariants: no answer takes a part below its floor; at most one server is told to swap at a time.
+ * Computes which stage a server should run. Pure, so that every lease holder comes to the same result from the same
+ * records. Invariants: no result takes a stage below its floor; at most one server at a time is told to switch.
  */
 export const Target = {
-  count(charter: Charter, wish: number, live: number): number {
-    const top = Math.max(charter.casting.floor.prefill, live - charter.casting.floor.decode);
-    return Math.min(Math.max(wish, charter.casting.floor.prefill), top);
+  /** The wanted number of prefill servers, limited by the floors of both stages. */
+  prefillCount(configuration: Charter, wanted: number, live: number): number {
+    const max = Math.max(configuration.casting.floor.prefill, live - configuration.casting.floor.decode);
+    return Math.min(Math.max(wanted, configuration.casting.floor.prefill), max);
   },
-  part(charter: Charter, wish: number, live: readonly Live[], id: string, swaps: boolean): Part | null {
-    const may = (x: string): Part | 'either' | null => charter.servers.find((s) => s.id === x)?.part ?? null;
-    const me = live.find((l) => l.id === id),
-      can = may(id);
-    if (!me || can === null) return null;
-    if (can !== 'either') return can;
-    const want = Target.count(charter, wish, live.length);
-    const order = Lot.rank(
+  /** The stage that the server should run; null if it is not live or not configured. */
+  part(
+    configuration: Charter,
+    wanted: number,
+    live: readonly LiveServer[],
+    id: string,
+    maySwitch: boolean,
+  ): Stage | null {
+    const allowedStage = (server: string): Stage | 'either' | null =>
+      configuration.servers.find((s) => s.id === server)?.part ?? null;
+    const self = live.find((l) => l.id === id),
+      allowed = allowedStage(id);
+    if (!self || allowed === null) return null;
+    if (allowed !== 'either') return allowed;
+    const targetCount = Target.prefillCount(configuration, wanted, live.length);
+    const ranked = Lot.rank(
       'cast',
-      live.filter((l) => may(l.id) !== null),
+      live.filter((l) => allowedStage(l.id) !== null),
       (l) => l.id,
     );
-    const fixed = (l: Live): Part | null => {
-      const m = may(l.id);
-      return m === 'either' || m === null ? l.part : m;
+    const fixedStage = (l: LiveServer): Stage | null => {
+      const stage = allowedStage(l.id);
+      return stage === 'either' || stage === null ? l.part : stage;
     };
-    let reads = order.filter((l) => fixed(l) === 'prefill').length;
-    let plan: Part | null = me.part;
-    for (const l of order.filter((x) => fixed(x) === null)) {
-      const p: Part = reads < want ? 'prefill' : 'decode';
-      if (p === 'prefill') reads++;
-      if (l.id === id) plan = p;
+    let prefillCount = ranked.filter((l) => fixedStage(l) === 'prefill').length;
+    let planned: Stage | null = self.part;
+    // Servers without a stage fill the missing prefill places in order of rank; the others of them run decode.
+    for (const l of ranked.filter((x) => fixedStage(x) === null)) {
+      const stage: Stage = prefillCount < targetCount ? 'prefill' : 'decode';
+      if (stage === 'prefill') prefillCount++;
+      if (l.id === id) planned = stage;
     }
-    if (me.part === null || !swaps || order.some((l) => fixed(l) === null)) return plan;
-    const loose = order.filter((l) => may(l.id) === 'either');
-    if (reads > want) return loose.filter((l) => l.part === 'prefill').at(-1)?.id === id ? 'decode' : me.part;
-    if (reads < want) return loose.find((l) => l.part === 'decode')?.id === id ? 'prefill' : me.part;
-    return me.part;
+    if (self.part === null || !maySwitch || ranked.some((l) => fixedStage(l) === null)) return planned;
+    const flexible = ranked.filter((l) => allowedStage(l.id) === 'either');
+    if (prefillCount > targetCount)
+      return flexible.filter((l) => l.part === 'prefill').at(-1)?.id === id ? 'decode' : self.part;
+    if (prefillCount < targetCount) return flexible.find((l) => l.part === 'decode')?.id === id ? 'prefill' : self.part;
+    return self.part;
   },
 };
--- a/packages/counter/src/town.ts
+++ b/packages/counter/src/town.ts
@@ -1,5 +1,5 @@
 import type { Result } from '@pumicebarrow/forms';
 import type { TownList } from './townlist.js';
 
-/** How the platform is asked for its list. */
+/** Source of the platform's list of servers. */
 export type Town = { poll(): Promise<Result<TownList, string>> };
--- a/packages/counter/src/townview.ts
+++ b/packages/counter/src/townview.ts
@@ -1,4 +1,4 @@
 import type { TownWatch } from './townwatch.js';
 
-/** The platform's list, as the other parts see it. */
+/** The platform's list of servers, as other modules read it. */
 export type TownView = ReturnType<typeof TownWatch.make>;
