--- a/packages/counter/src/townwatch.test.ts
+++ b/packages/counter/src/townwatch.test.ts
@@ -12,54 +12,63 @@
 const peer: Ident = { id: 'e2', born: 'b', addr: '10.0.0.2:1', site: 's', role: 'counter' };
 type Case = {
   poll: Result<TownList, string>;
-  takes?: number;
-  shared?: { list: TownList | null; age: number };
-  later: number;
-  good: boolean;
+  pollMs?: number;
+  peerReply?: { list: TownList | null; age: number };
+  readAfterMs: number;
+  usable: boolean;
 };
 const cases: [string, Case][] = [
-  ['a list just polled', { poll: Ok(list), later: 0, good: true }],
-  ['a list 2.4 s old', { poll: Ok(list), later: 2400, good: true }],
-  ['a list 2.5 s old', { poll: Ok(list), later: 2500, good: false }],
-  ['a list that took 300 ms to come is that much older', { poll: Ok(list), takes: 300, later: 2250, good: false }],
-  ["another daemon's younger list", { poll: Err('down'), shared: { list, age: 1000 }, later: 1000, good: true }],
+  ['a list just received', { poll: Ok(list), readAfterMs: 0, usable: true }],
+  ['a list 2.4 s old', { poll: Ok(list), readAfterMs: 2400, usable: true }],
+  ['a list 2.5 s old', { poll: Ok(list), readAfterMs: 2500, usable: false }],
   [
-    "another daemon's list, its age counted on",
-    { poll: Err('down'), shared: { list, age: 1000 }, later: 1500, good: false },
+    'a list whose reply took 300 ms, which counts as age',
+    { poll: Ok(list), pollMs: 300, readAfterMs: 2250, usable: false },
+  ],
+  ["a peer's more recent list", { poll: Err('down'), peerReply: { list, age: 1000 }, readAfterMs: 1000, usable: true }],
+  [
+    "a peer's list whose age has passed the limit since",
+    { poll: Err('down'), peerReply: { list, age: 1000 }, readAfterMs: 1500, usable: false },
+  ],
+  [
+    "a peer's list that is too old",
+    { poll: Err('down'), peerReply: { list, age: 2500 }, readAfterMs: 0, usable: false },
+  ],
+  [
+    'a list that neither the platform nor a peer has',
+    { poll: Err('down'), peerReply: { list: null, age: 0 }, readAfterMs: 0, usable: false },
   ],
-  ["another daemon's old list", { poll: Err('down'), shared: { list, age: 2500 }, later: 0, good: false }],
-  ['no list from anyone', { poll: Err('down'), shared: { list: null, age: 0 }, later: 0, good: false }],
 ];
 
-describe('TownWatch', () => {
+describe('InventoryWatcher', () => {
   for (const [name, c] of cases) {
-    it(`${c.good ? 'reads' : 'reads nothing'} off ${name}`, async () => {
+    it(`${c.usable ? 'uses' : 'does not use'} ${name}`, async () => {
       let now = 5000;
       const world = {
         clock: { mono: () => now, wall: () => 0, after: () => () => undefined },
         chance: { real: () => 0 },
       } as unknown as World;
-      const post = { on: () => undefined, ask: () => Promise.resolve(Ok(c.shared)) } as unknown as PostBox;
-      const w = TownWatch.make(
+      const post = { on: () => undefined, ask: () => Promise.resolve(Ok(c.peerReply)) } as unknown as PostBox;
+      const watcher = TownWatch.make(
         world,
         post,
         {
           poll: () => {
-            now += c.takes ?? 0;
+            now += c.pollMs ?? 0;
             return Promise.resolve(c.poll);
           },
         },
         () => [peer],
       );
-      w.start();
+      watcher.start();
       for (let i = 0; i < 20; i++) await Promise.resolve();
-      now += c.later;
-      expect(w.good('m1', 'one') !== null).to.equal(c.good);
-      expect(w.good('m1', 'two')).to.equal(null);
-      expect(w.good('m2', 'one')).to.equal(null);
-      expect(w.good('m9')).to.equal(null);
-      expect(w.young()).to.equal(c.good);
-      w.stop();
+      now += c.readAfterMs;
+      expect(watcher.good('m1', 'one') !== null).to.equal(c.usable);
+      expect(watcher.good('m1', 'two')).to.equal(null);
+      expect(watcher.good('m2', 'one')).to.equal(null);
+      expect(watcher.good('m9')).to.equal(null);
+      expect(watcher.young()).to.equal(c.usable);
+      watcher.stop();
     });
   }
 });
--- a/packages/counter/src/townwatch.ts
+++ b/packages/counter/src/townwatch.ts
@@ -4,83 +4,97 @@
 import type { Town } from './town.js';
 import { TownList } from './townlist.js';
 
-const OLD = 2500;
-const POLL = 400;
-/** How long after it was asked for a list may still bring a send to a server. */
-const REACH = 3000;
-const Shared = Type.Object(
+const MAX_AGE_MS = 2500;
+const POLL_INTERVAL_MS = 400;
+/** How long after a list was requested a request sent by it may still start at a server. */
+const SEND_WINDOW_MS = 3000;
+/** Reply of a peer: its list, if recent enough, and how old that is in ms. */
+const PeerList = Type.Object(
   { list: Type.Union([TownList, Type.Null()]), age: Type.Number({ minimum: 0 }) },
   { additionalProperties: false },
 );
 
 /**
- * The platform's list, as young as can be had. Invariants: its age is counted from before it was asked for, in
- * monotonic ms, and travels with it; nothing is read off a list older than 2.5 s.
+ * Keeps the most recent list of servers that can be had from the platform, or from a peer while the platform does not
+ * answer. Invariants: a list's age is counted from before it was requested, in monotonic ms, and is passed on with it;
+ * a list older than 2.5 s is not used.
  */
 export const TownWatch = {
-  make(world: World, post: PostBox, town: Town, peers: () => readonly Ident[], look: () => void = () => undefined) {
+  make(
+    world: World,
+    post: PostBox,
+    source: Town,
+    peers: () => readonly Ident[],
+    checkSuspension: () => void = () => undefined,
+  ) {
     let list: TownList | null = null;
-    let from = -Infinity;
-    let dropped = -Infinity;
-    let table: ReadonlyMap<string, Listed> = new Map();
-    const ears: ((now: readonly Listed[]) => void)[] = [];
+    let listedAt = -Infinity;
+    let invalidatedAt = -Infinity;
+    let serversById: ReadonlyMap<string, Listed> = new Map();
+    const listeners: ((servers: readonly Listed[]) => void)[] = [];
     let stop: () => void = () => undefined;
-    const age = (): number => world.clock.mono() - from;
-    const set = (next: TownList, at: number): void => {
-      look();
-      if (at <= from || at < dropped) return;
+    const age = (): number => world.clock.mono() - listedAt;
+    const accept = (next: TownList, at: number): void => {
+      checkSuspension();
+      if (at <= listedAt || at < invalidatedAt) return;
       list = next;
-      from = at;
-      table = new Map(next.servers.map((s) => [s.id, s]));
-      for (const fn of ears) fn(next.servers);
+      listedAt = at;
+      serversById = new Map(next.servers.map((s) => [s.id, s]));
+      for (const listener of listeners) listener(next.servers);
     };
-    const tick = async (): Promise<void> => {
-      const at = world.clock.mono();
-      const got = await town.poll();
-      if (got.ok) {
-        set(got.val, at);
+    const poll = async (): Promise<void> => {
+      const requestedAt = world.clock.mono();
+      const reply = await source.poll();
+      if (reply.ok) {
+        accept(reply.val, requestedAt);
         return;
       }
-      const who = Dice.one(world.chance, peers());
-      if (!who) return;
-      const ask = world.clock.mono();
-      const r = await post.ask(who.addr, who.id, 'town.list', {}, Shared, POLL);
-      if (r.ok && r.val.list && r.val.age < OLD) set(r.val.list, ask - r.val.age);
+      const peer = Dice.one(world.chance, peers());
+      if (!peer) return;
+      const peerAskedAt = world.clock.mono();
+      const peerReply = await post.ask(peer.addr, peer.id, 'town.list', {}, PeerList, POLL_INTERVAL_MS);
+      if (peerReply.ok && peerReply.val.list && peerReply.val.age < MAX_AGE_MS)
+        accept(peerReply.val.list, peerAskedAt - peerReply.val.age);
     };
-    post.on('town.list', Type.Object({}), () => ({ list: age() < OLD ? list : null, age: list ? age() : 0 }));
+    post.on('town.list', Type.Object({}), () => ({ list: age() < MAX_AGE_MS ? list : null, age: list ? age() : 0 }));
     return {
       start(): void {
-        stop = Timer.every(world.clock, POLL, tick);
+        stop = Timer.every(world.clock, POLL_INTERVAL_MS, poll);
       },
       stop(): void {
         stop();
       },
-      heed(fn: (now: readonly Listed[]) => void): void {
-        ears.push(fn);
+      /** Calls the listener with each new list. */
+      heed(listener: (servers: readonly Listed[]) => void): void {
+        listeners.push(listener);
       },
       young(): boolean {
-        look();
-        return age() < OLD;
+        checkSuspension();
+        return age() < MAX_AGE_MS;
       },
-      /** After a sleep of unknown length the list's age is unknown: it is let go, and asked for anew. */
+      /** Discards the list and requests another: after a suspension of unknown length its age is unknown. */
       drop(): void {
-        from = -Infinity;
-        dropped = world.clock.mono();
-        void tick();
+        listedAt = -Infinity;
+        invalidatedAt = world.clock.mono();
+        void poll();
       },
+      /** Age of the list in ms. */
       age,
-      /** The instant after which nothing sent by this list may take hold. */
-      until: (): number => from + REACH,
+      /** The instant after which no request sent by this list may start at a server. */
+      until: (): number => listedAt + SEND_WINDOW_MS,
+      /** All servers listed; none if the list is too old. */
       all(): readonly Listed[] {
-        look();
-        return age() < OLD ? (list?.servers ?? []) : [];
+        checkSuspension();
+        return age() < MAX_AGE_MS ? (list?.servers ?? []) : [];
       },
-      /** The server, if at this instant a young list shows it serving; else null. */
-      good(id: string, born?: string): Listed | null {
-        look();
-        if (age() >= OLD) return null;
-        const s = table.get(id);
-        return s && s.mark === 'serving' && (born === undefined || s.born === born) ? s : null;
+      /** The server, if a list that is recent at this instant shows it, in this incarnation, as serving; else null. */
+      good(id: string, incarnation?: string): Listed | null {
+        checkSuspension();
+        if (age() >= MAX_AGE_MS) return null;
+        const server = serversById.get(id);
+        return server && server.mark === 'serving' && (incarnation === undefined || server.born === incarnation)
+          ? server
+          : null;
       },
     };
   },
--- a/packages/counter/src/urgency.ts
+++ b/packages/counter/src/urgency.ts
@@ -1,6 +1,6 @@
 import type { RunTools } from './runtools.js';
 
-/** What a send says of its urgency. */
+/** The urgency field of a request to a server; left out for live requests, which have none. */
 export const Urgency = {
   of: (t: Pick<RunTools, 'urgency'>): { urgency?: number } => (t.urgency === undefined ? {} : { urgency: t.urgency }),
 };
--- a/packages/counter/src/waiter.ts
+++ b/packages/counter/src/waiter.ts
@@ -1,4 +1,12 @@
 import type { Rule } from '@pumicebarrow/forms';
 
-/** One request in a queue. Invariant: `turn` is called once, with true for its turn or false when it is given up. */
-export type Waiter = { rule: Rule; due: number; order: number; open: boolean; turn: (go: boolean) => void };
+/** A queued request. Invariant: `resolve` is called once, with true for its turn or with false if it is given up. */
+export type Waiter = {
+  rule: Rule;
+  /** When it is given up, in monotonic ms. */
+  due: number;
+  /** Order of arrival. */
+  sequence: number;
+  pending: boolean;
+  resolve: (granted: boolean) => void;
+};
--- a/packages/counter/src/wellness.test.ts
+++ b/packages/counter/src/wellness.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import { Wellness } from './wellness.js';
 
-type Seen = Parameters<typeof Wellness.wrong>[0];
+type Snapshot = Parameters<typeof Wellness.problems>[0];
 const member = (id: string) => ({ id, born: 'b', addr: '10.0.0.1:1' });
 const row = (server: string, part: 'prefill' | 'decode', stage: 'serving' | 'dark' = 'serving') => ({
   server,
@@ -10,12 +10,12 @@
   stage,
   by: 'e1',
 });
-const well: Seen = {
+const healthy: Snapshot = {
   version: 4,
   view: { epoch: 1, voters: ['c1', 'c2'].map(member), chain: ['c1', 'c2'].map(member) },
   daemons: [{ id: 'e1', role: 'counter', reached: true, sure: true, version: 4 }],
   rows: [row('m1', 'prefill'), row('m2', 'decode')],
-  charter: {
+  configuration: {
     sites: ['s'],
     rules: [],
     servers: ['m1', 'm2'].map((id) => ({ id, site: 's', part: 'either' as const, slots: 1 })),
@@ -23,38 +23,58 @@
   },
   listed: ['m1', 'm2'].map((id) => ({ id, born: 'b' })),
 };
-const one = well.daemons[0]!;
+const daemon = healthy.daemons[0]!;
 
-describe('Whether the fleet is well', () => {
-  const cases: [string, Partial<Seen>, string[]][] = [
-    ['a whole fleet', {}, []],
-    ['no core', { version: null }, ['the core does not reply: no charter, claim or order can change']],
-    ['a short chain', { view: { ...well.view!, chain: [member('c1')] } }, ['core c2 is out of the chain']],
-    ['a daemon gone', { daemons: [{ ...one, reached: false }] }, ['e1 can not be reached']],
-    ['one that asks', { daemons: [{ ...one, sure: false }] }, ['e1 can not tell its charter yet, and lets nothing in']],
+describe('FleetHealth', () => {
+  const cases: [string, Partial<Snapshot>, string[]][] = [
+    ['no problem of a healthy fleet', {}, []],
     [
-      'a core alone',
-      { daemons: [{ ...one, id: 'c1', role: 'registry', sure: false }] },
-      ['c1 has no claim on the chain, and says nothing'],
+      'an unreachable core',
+      { version: null },
+      ['the core does not reply: no configuration, lease or stage assignment can change'],
     ],
-    ['one behind', { daemons: [{ ...one, version: 3 }] }, ['e1 holds charter 3, not 4']],
-    ['no charter', { charter: null }, ['there is no charter: plan and confirm one']],
-    ['no list', { listed: null }, ["the platform's list is away or old: requests are bounced"]],
-    ['a server gone', { listed: [{ id: 'm1', born: 'b' }] }, ['server m2 is not listed as serving']],
     [
-      'a new life without a row',
-      { listed: well.listed!.map((l) => ({ ...l, born: l.id === 'm1' ? 'c' : 'b' })) },
-      ['server m1 has not been ordered yet in its present life'],
+      'a control replica outside the chain',
+      { view: { ...healthy.view!, chain: [member('c1')] } },
+      ['control replica c2 is out of the chain'],
     ],
+    ['an unreachable daemon', { daemons: [{ ...daemon, reached: false }] }, ['e1 can not be reached']],
     [
-      'a dark server, below the floor',
+      'a daemon that is not sure of its configuration',
+      { daemons: [{ ...daemon, sure: false }] },
+      ['e1 does not know yet whether its configuration is current, and admits nothing'],
+    ],
+    [
+      'a control replica without a lease',
+      { daemons: [{ ...daemon, id: 'c1', role: 'registry', sure: false }] },
+      ['control replica c1 has no lease on the chain, and answers no reads'],
+    ],
+    [
+      'a daemon with an older configuration',
+      { daemons: [{ ...daemon, version: 3 }] },
+      ['e1 has configuration 3, not 4'],
+    ],
+    ['a missing configuration', { configuration: null }, ['there is no configuration: plan and confirm one']],
+    [
+      'a missing list of servers',
+      { listed: null },
+      ["the platform's list of servers is missing or old: requests are refused"],
+    ],
+    ['a server that is not listed', { listed: [{ id: 'm1', born: 'b' }] }, ['server m2 is not listed as serving']],
+    [
+      'a restarted server without an assignment',
+      { listed: healthy.listed!.map((l) => ({ ...l, born: l.id === 'm1' ? 'c' : 'b' })) },
+      ['server m1 has no stage assigned yet since its last start'],
+    ],
+    [
+      'a dark server that leaves its stage below the floor',
       { rows: [row('m1', 'prefill'), row('m2', 'decode', 'dark')] },
-      ['0 servers decode, fewer than the floor of 1', 'server m2 is dark'],
+      ['0 servers run decode, fewer than the floor of 1', 'server m2 is dark: it does not answer probes'],
     ],
   ];
-  for (const [name, change, want] of cases) {
-    it(`tells ${name}`, () => {
-      expect(Wellness.wrong({ ...well, ...change })).to.deep.equal(want);
+  for (const [name, change, expected] of cases) {
+    it(`reports ${name}`, () => {
+      expect(Wellness.problems({ ...healthy, ...change })).to.deep.equal(expected);
     });
   }
 });
--- a/packages/counter/src/wellness.ts
+++ b/packages/counter/src/wellness.ts
@@ -1,53 +1,61 @@
 import type { Charter } from '@pumicebarrow/forms';
 import type { SheetRow, View } from '@pumicebarrow/registry';
 
+/** What a daemon reported; `sure` is whether it knows that its configuration is current. */
 type Daemon = { id: string; role: string; reached: boolean; sure: boolean; version: number | null };
-type Seen = {
-  /** The charter's version at the tail; null when the core did not reply. */
+type Snapshot = {
+  /** Version of the configuration at the tail of the chain; null if no control replica replied. */
   version: number | null;
   view: View | null;
   daemons: readonly Daemon[];
   rows: readonly SheetRow[];
-  charter: Charter | null;
-  /** What the platform lists as serving; null with no young list. */
+  configuration: Charter | null;
+  /** Servers that the platform lists as serving; null if there is no recent list. */
   listed: readonly { id: string; born: string }[] | null;
 };
 
-const core = (s: Seen): string[] => {
-  if (s.version === null) return ['the core does not reply: no charter, claim or order can change'];
-  const out = (s.view?.voters ?? []).filter((v) => !s.view!.chain.some((m) => m.id === v.id));
-  return out.map((v) => `core ${v.id} is out of the chain`);
+const coreProblems = (fleet: Snapshot): string[] => {
+  if (fleet.version === null)
+    return ['the core does not reply: no configuration, lease or stage assignment can change'];
+  const outside = (fleet.view?.voters ?? []).filter((v) => !fleet.view!.chain.some((m) => m.id === v.id));
+  return outside.map((v) => `control replica ${v.id} is out of the chain`);
 };
-const daemon = (s: Seen, d: Daemon): string[] => {
-  if (!d.reached) return [`${d.id} can not be reached`];
-  if (!d.sure && d.role === 'registry') return [`${d.id} has no claim on the chain, and says nothing`];
-  if (!d.sure) return [`${d.id} can not tell its charter yet, and lets nothing in`];
-  if (s.version !== null && (d.version ?? 0) < s.version)
-    return [`${d.id} holds charter ${d.version ?? 'none'}, not ${s.version}`];
+const daemonProblems = (fleet: Snapshot, daemon: Daemon): string[] => {
+  if (!daemon.reached) return [`${daemon.id} can not be reached`];
+  if (!daemon.sure && daemon.role === 'registry')
+    return [`control replica ${daemon.id} has no lease on the chain, and answers no reads`];
+  if (!daemon.sure) return [`${daemon.id} does not know yet whether its configuration is current, and admits nothing`];
+  if (fleet.version !== null && (daemon.version ?? 0) < fleet.version)
+    return [`${daemon.id} has configuration ${daemon.version ?? 'none'}, not ${fleet.version}`];
   return [];
 };
-const servers = (s: Seen): string[] => {
-  if (s.charter === null) return ['there is no charter: plan and confirm one'];
-  if (s.listed === null) return ["the platform's list is away or old: requests are bounced"];
-  const lit = s.listed;
-  return s.charter.servers.flatMap(({ id }) => {
-    const there = lit.find((l) => l.id === id),
-      row = s.rows.find((r) => r.server === id);
-    if (!there) return [`server ${id} is not listed as serving`];
-    if (!row || row.born !== there.born) return [`server ${id} has not been ordered yet in its present life`];
-    return row.stage === 'dark' ? [`server ${id} is dark`] : [];
+const serverProblems = (fleet: Snapshot): string[] => {
+  if (fleet.configuration === null) return ['there is no configuration: plan and confirm one'];
+  if (fleet.listed === null) return ["the platform's list of servers is missing or old: requests are refused"];
+  const listed = fleet.listed;
+  return fleet.configuration.servers.flatMap(({ id }) => {
+    const server = listed.find((l) => l.id === id),
+      row = fleet.rows.find((r) => r.server === id);
+    if (!server) return [`server ${id} is not listed as serving`];
+    if (!row || row.born !== server.born) return [`server ${id} has no stage assigned yet since its last start`];
+    return row.stage === 'dark' ? [`server ${id} is dark: it does not answer probes`] : [];
   });
 };
-const floors = (s: Seen): string[] => {
-  if (s.charter === null || s.listed === null) return [];
-  return (['prefill', 'decode'] as const).flatMap((part) => {
-    const n = s.rows.filter((r) => r.part === part && r.stage === 'serving').length,
-      least = s.charter!.casting.floor[part];
-    return n < least ? [`${n} servers ${part}, fewer than the floor of ${least}`] : [];
+const floorProblems = (fleet: Snapshot): string[] => {
+  if (fleet.configuration === null || fleet.listed === null) return [];
+  return (['prefill', 'decode'] as const).flatMap((stage) => {
+    const serving = fleet.rows.filter((r) => r.part === stage && r.stage === 'serving').length,
+      floor = fleet.configuration!.casting.floor[stage];
+    return serving < floor ? [`${serving} servers run ${stage}, fewer than the floor of ${floor}`] : [];
   });
 };
 
-/** Why the fleet is not well, in plain words, the gravest first; nothing when it is. */
+/** The problems of the fleet in plain words, the gravest first; none if it is healthy. */
 export const Wellness = {
-  wrong: (s: Seen): string[] => [...core(s), ...floors(s), ...servers(s), ...s.daemons.flatMap((d) => daemon(s, d))],
+  problems: (fleet: Snapshot): string[] => [
+    ...coreProblems(fleet),
+    ...floorProblems(fleet),
+    ...serverProblems(fleet),
+    ...fleet.daemons.flatMap((d) => daemonProblems(fleet, d)),
+  ],
 };
