--- a/packages/counter/src/httptown.ts
+++ b/packages/counter/src/httptown.ts
@@ -4,7 +4,7 @@
 import type { Town } from './town.js';
 import { TownList } from './townlist.js';
 
-const MAX_BODY_BYTES = 1024 * 1024;
+const MAX_LIST_BYTES = 1024 * 1024;
 
 /** Fetches the platform's list of servers over HTTP. */
 export const HttpTown = {
@@ -19,7 +19,7 @@
             bodyTimeout: 600,
             signal: AbortSignal.timeout(900),
           });
-          const body = await BodyReader.json(response.body, MAX_BODY_BYTES);
+          const body = await BodyReader.json(response.body, MAX_LIST_BYTES);
           const parsed = response.statusCode === 200 && body.ok ? Check.parse(TownList, body.val) : null;
           return parsed?.ok ? Ok(parsed.val) : Err("the platform's reply is not a valid list of servers");
         } catch (e) {
--- a/packages/counter/src/lending/lender.test.ts
+++ b/packages/counter/src/lending/lender.test.ts
@@ -74,7 +74,7 @@
     s.state.decodeLoad = 5;
     expect(s.ask('e1')).to.equal('lent 1');
   });
-  it('counts the requests of a recalled holder that never replied as running, also after its lease has ended', async () => {
+  it('counts the requests of a recalled holder that never replied as running, also after its lease', async () => {
     const s = setup();
     s.state.holderReachable = false;
     expect(s.ask('e1')).to.equal('lent 4');
@@ -111,7 +111,7 @@
     s.lender.tick();
     expect(s.ask('e2', 1)).to.equal('nothing');
   });
-  it('also does so, and publishes the expiry, if another daemon requests the server before the next tick', () => {
+  it('counts them, and publishes the expiry, also if another daemon requests the server before a tick', () => {
     const s = setup();
     s.ask('e1');
     s.wait(2300);
--- a/packages/counter/src/lending/lending.ts
+++ b/packages/counter/src/lending/lending.ts
@@ -73,8 +73,8 @@
     const borrowedRun = LentRun.make({ ...deps, charter: sheet.charter, loads: borrowedLoads, borrower });
     const runner = Runner.make({
       ...{ world, controlClient: deps.line, duty: deps.duty, configuration: sheet.charter, capacity: borrowedRun.room },
-      run: (request, sink) => {
-        const done = borrowedRun.request(request, sink);
+      run: (request, writer) => {
+        const done = borrowedRun.request(request, writer);
         borrowedRun.pump();
         return done;
       },
--- a/packages/counter/src/lending/runner.test.ts
+++ b/packages/counter/src/lending/runner.test.ts
@@ -130,7 +130,7 @@
     await s.read();
     expect(s.keys()).to.deep.equal(['a.0.1/1']);
   });
-  it('still knows which generation did not run, and which burst needs a loan, after a failed read of the core', async () => {
+  it('remembers after a failed read of the core which generation did not run and which burst needs a loan', async () => {
     const s = setup(1);
     s.begin('a');
     s.begin('b');
@@ -169,7 +169,7 @@
     expect(s.keys()).to.deep.equal([]);
     expect(s.states()).to.equal('waiting waiting waiting waiting');
   });
-  it('sends a generation whose recording was not confirmed only once it reads that the core has recorded it', async () => {
+  it('sends a generation whose recording was not confirmed only once it reads that it was recorded', async () => {
     const s = setup(1);
     s.begin('a');
     s.state.replyOverride = Verdicts.maybe('unsure', 'x');
--- a/packages/counter/src/lending/runner.ts
+++ b/packages/counter/src/lending/runner.ts
@@ -13,7 +13,7 @@
   configuration: () => Charter | null;
   /** Total weight of a route's generations that may be in progress at once. */
   capacity: (route: Rule) => number;
-  run: (request: Request, sink: CallerSink) => Promise<Verdict>;
+  run: (request: Request, writer: CallerSink) => Promise<Verdict>;
 };
 /** A generation that is waiting or was begun. */
 type OpenGeneration = { burst: Burst; index: number; generation: Generation };
--- a/packages/counter/src/newest.test.ts
+++ b/packages/counter/src/newest.test.ts
@@ -28,7 +28,7 @@
 
   const peer = (id: string): Ident => ({ ...self, id, addr: `${id}:1` });
   const configuration = (version: number): Doc => ({ name: 'charter', mark: [version, 0], body: {} });
-  /** For a daemon that can not reach the tail: its age, versions that its two peers reply, and the version it adopts. */
+  /** For a daemon that can not reach the tail: its age, the versions that its two peers reply, the one it adopts. */
   for (const [title, age, replies, expected] of [
     ['adopts the newest version of a majority', 2000, [6, 7], 7],
     ['does not adopt anything from a minority', 2000, [], null],
