--- a/packages/counter/src/hails.ts
+++ b/packages/counter/src/hails.ts
@@ -27,7 +27,7 @@
       const reading = readings.get(server.id);
       return reading && reading.born === server.born && clock.mono() - reading.at < MAX_AGE_MS ? reading : null;
     };
-    const probe = async (server: Listed, timeoutMs: number): Promise<Result<BackState, BackFault>> => {
+    const probeServer = async (server: Listed, timeoutMs: number): Promise<Result<BackState, BackFault>> => {
       const resetsBefore = resets,
         reply = await back.state(server.addr, timeoutMs);
       checkSuspension();
@@ -42,7 +42,7 @@
     const refresh = async (server: Listed): Promise<void> => {
       if (probing.has(server.id)) return;
       probing.add(server.id);
-      await probe(server, REQUEST_TIMEOUT_MS);
+      await probeServer(server, REQUEST_TIMEOUT_MS);
       probing.delete(server.id);
     };
     /** Probes the servers whose reading is missing or due; forgets the servers that are no longer listed. */
@@ -64,7 +64,7 @@
       },
       tick,
       /** Asks a server for its state, and records its clock. */
-      ask: probe,
+      ask: probeServer,
       /** Forgets all readings, also those under way. */
       drop(): void {
         readings = new Map();
--- a/packages/counter/src/newest.ts
+++ b/packages/counter/src/newest.ts
@@ -26,7 +26,7 @@
 export const Newest = {
   make(deps: Dependencies) {
     const startedAt = deps.world.clock.mono();
-    const readTail = async (timeoutMs: number): Promise<boolean> => {
+    const readFromTail = async (timeoutMs: number): Promise<boolean> => {
       const reply = await deps.line.read(undefined, timeoutMs);
       if (!reply) return false;
       const latest = reply.charter;
@@ -57,10 +57,10 @@
       /** Fetches the newest configuration; true if the one now stored is known to be the newest. */
       async sure(): Promise<boolean> {
         const suspensionsBefore = deps.slept();
-        return ((await readTail(600)) || (await readMajority())) && deps.slept() === suspensionsBefore;
+        return ((await readFromTail(600)) || (await readMajority())) && deps.slept() === suspensionsBefore;
       },
       /** Fetches the configuration from the tail of the chain; false if it did not answer. */
-      tail: readTail,
+      tail: readFromTail,
     };
   },
 };
--- a/packages/counter/src/trip.ts
+++ b/packages/counter/src/trip.ts
@@ -8,7 +8,7 @@
 
 /**
  * A request that has been admitted and recorded as sent by the ledger's owners. Invariants: `handle` was issued by the
- * prefill server named beside it, and fits the request; servers are only ever added to those excluded; `why` is the
+ * prefill server named beside it, and fits the request; servers are only ever added to those excluded; `failure` is the
  * verdict if the request is given up now.
  */
 export type Trip = {
