--- a/packages/counter/src/casting.ts
+++ b/packages/counter/src/casting.ts
@@ -10,7 +10,7 @@
 import type { TownView } from './townview.js';
 
 type Dependencies = {
-  /** Clock offsets of the servers. */
+  /** Readings of the servers' clocks, by which deadlines are translated. */
   hails: Hailing;
   world: World;
   /** Configuration and stage assignments. */
@@ -37,7 +37,7 @@
  * valid at that instant, and can not take effect once the lease has expired or this daemon has stopped waiting for the
  * reply; every assignment written carries that token and a step above the last; a server is drained before it is
  * switched. The holder of a server's lease probes it about once a second; after a probe without a reply it probes at
- * every tick, and marks the server dark after two in a row.
+ * every tick, and marks the server dark (unreachable) after two in a row.
  */
 export const Casting = {
   make(deps: Dependencies) {
@@ -50,7 +50,7 @@
     const log = deps.world.log('cast');
 
     const publishAssignment = (fence: number, row: SheetRow): boolean => {
-      const mark = Order.next(deps.sheet.rows().get(row.server)?.mark, fence);
+      const mark = Order.next(deps.sheet.rows().get(row.server)?.stamp, fence);
       return mark !== null && deps.purge.publish({ name: `row:${row.server}`, mark, body: row });
     };
     const orderStage = async (server: Listed, part: SheetRow['part']): Promise<void> => {
@@ -60,7 +60,7 @@
         Math.min(deps.duty.expiresAt(`row:${server.id}`), now() + REQUEST_TIMEOUT_MS),
       );
       if (fence === null || !bound || !deps.town.good(server.id, server.born)) return;
-      const previous = deps.sheet.rows().get(server.id)?.mark;
+      const previous = deps.sheet.rows().get(server.id)?.stamp;
       const step = previous && previous[0] === fence ? previous[1] + 1 : 0;
       deps.world.tell({ what: 'order', server: server.id, part, fence, step });
       const reply = await deps.back.order(
--- a/packages/counter/src/choice.ts
+++ b/packages/counter/src/choice.ts
@@ -9,7 +9,7 @@
 
 type Stage = 'prefill' | 'decode';
 type Dependencies = {
-  /** Clock offsets of the servers. */
+  /** Readings of the servers' clocks. */
   hails: Hailing;
   /** Configuration and stage assignments. */
   sheet: SheetView;
@@ -27,7 +27,7 @@
       const slots = deps.sheet.charter()?.servers.find((s) => s.id === id)?.slots ?? 1;
       return Share.of(slots, deps.roster().filter((r) => r.role === 'counter').length);
     };
-    /** Servers of a stage that are assigned, listed as serving, of known clock and not ejected. */
+    /** Servers assigned to a stage that are listed as serving, have a valid clock reading and are not ejected. */
     const usable = (stage: Stage): Listed[] => {
       const servers: Listed[] = [];
       for (const { row } of deps.sheet.rows().values()) {
--- a/packages/counter/src/control.ts
+++ b/packages/counter/src/control.ts
@@ -128,7 +128,7 @@
             };
           }),
         );
-        const sheet = [...daemon.sheet.rows().values()].map((r) => ({ ...r.row, mark: r.mark }));
+        const sheet = [...daemon.sheet.rows().values()].map((r) => ({ ...r.row, mark: r.stamp }));
         const wrong = Wellness.problems({
           version: latest ? (latest.charter?.version ?? 0) : null,
           view: daemon.line.view(),
--- a/packages/counter/src/duty.ts
+++ b/packages/counter/src/duty.ts
@@ -3,7 +3,7 @@
 import { CoreTimings, type ControlClient } from '@pumicebarrow/registry';
 
 /** A lease as held here; `ready` is when the takeover delay ends. */
-type Held = { fence: number; until: number; ready: number };
+type HeldLease = { fence: number; until: number; ready: number };
 
 /**
  * Obtains and renews the named leases that fall to this daemon. Invariants: a lease's term counts from before it was
@@ -18,7 +18,7 @@
     roster: () => readonly Ident[],
     checkSuspension: () => void = () => undefined,
   ) {
-    const leases = new Map<string, Held>();
+    const leases = new Map<string, HeldLease>();
     const renewing = new Set<string>();
     let resets = 0;
     const now = (): number => world.clock.mono();
--- a/packages/counter/src/lending/borrower.test.ts
+++ b/packages/counter/src/lending/borrower.test.ts
@@ -20,11 +20,11 @@
       return Promise.resolve(state.reply ? Ok(state.reply) : Err('lost'));
     },
   } as unknown as PostBox;
-  const row = { server: 'm1', born: 'x', part: 'decode', stage: 'serving', by: 'e9' };
+  const assignment = { server: 'm1', born: 'x', part: 'decode', stage: 'serving', by: 'e9' };
   const borrower = Borrower.make({
     world: { clock: { mono: () => now } } as unknown as World,
     post,
-    sheet: { rows: () => new Map([['m1', { row, mark: [1, 0] }]]) } as never,
+    sheet: { rows: () => new Map([['m1', { row: assignment, stamp: [1, 0] }]]) } as never,
     town: { good: () => ({}) } as never,
     roster: () => [lender],
     runningWeight: () => 0,
--- a/packages/counter/src/lending/lender.test.ts
+++ b/packages/counter/src/lending/lender.test.ts
@@ -19,7 +19,7 @@
   const docs = new Map<string, Doc>();
   const messages: string[] = [];
   const state = { fence: 3 as number | null, decodeLoad: 0, holderReachable: true, running: 0 };
-  const row: SheetRow = { server: 'm2', born: 'x', part: 'decode', stage: 'serving', by: 'e9' };
+  const assignment: SheetRow = { server: 'm2', born: 'x', part: 'decode', stage: 'serving', by: 'e9' };
   const post = {
     on: (kind: string, _schema: unknown, handler: (body: unknown, from: Ident) => unknown) =>
       void handlers.set(kind, handler),
@@ -35,7 +35,7 @@
     loan,
     sheet: {
       charter: () => configuration,
-      rows: () => new Map([['m2', { row, mark: [3, 0] }]]),
+      rows: () => new Map([['m2', { row: assignment, stamp: [3, 0] }]]),
       stamp: (name: string) => docs.get(name)?.mark ?? null,
     } as never,
     town: { good: () => ({}) } as never,
--- a/packages/counter/src/lending/lending.ts
+++ b/packages/counter/src/lending/lending.ts
@@ -133,7 +133,7 @@
         borrower.tick(deps.serving() ? runner.need() : null, termMs());
         await runner.read();
       },
-      /** Starts nothing more, gives back the loans, fails the requests that wait, and lets the running ones finish. */
+      /** Starts nothing more, gives back loans, returns waiting requests to their bursts, lets running ones finish. */
       async leave(until: number): Promise<void> {
         runner.stop();
         borrowedRun.clear();
--- a/packages/counter/src/lending/lendingcontrol.ts
+++ b/packages/counter/src/lending/lendingcontrol.ts
@@ -13,7 +13,7 @@
     });
     const readVerdict = Verdicts.ran('read', 'As stored by the core.');
     return {
-      /** Starts a burst; acknowledged once the core has it on disk. Repeating the same request is harmless. */
+      /** Starts a burst; acknowledged once the core has it on disk. Repeating it is harmless, whatever became of the first. */
       async begin(body: unknown): Promise<Answer> {
         const parsed = Check.parse(BurstSpec, body);
         if (parsed.err) return { verdict: Verdicts.bad(parsed.val) };
--- a/packages/counter/src/lending/livewatch.ts
+++ b/packages/counter/src/lending/livewatch.ts
@@ -25,7 +25,7 @@
 const REQUEST_TIMEOUT_MS = 300;
 /** Least time between two recalls of a loan. */
 const RECALL_INTERVAL_MS = 200;
-/** Keys under which the load of requests that have a turn but no server yet is tracked. */
+/** Keys under which the load of requests that have left a queue but have no server yet is tracked. */
 const RESERVED_LOAD_KEYS = { prefill: '*turn', decode: '*hand' } as const;
 
 /**
--- a/packages/counter/src/met.ts
+++ b/packages/counter/src/met.ts
@@ -4,7 +4,7 @@
 const MAX_DAEMONS = 512;
 
 /**
- * Daemons that this one knew of lately, so that operators are still shown a daemon that has stopped answering.
+ * Daemons known recently, so that operators are still shown a daemon that has stopped answering.
  * Invariant: one entry per id, with its latest incarnation; a daemon that is gone for good is shown for three minutes.
  */
 export const Met = {
--- a/packages/counter/src/mixer.ts
+++ b/packages/counter/src/mixer.ts
@@ -7,7 +7,7 @@
 
 /** Weight of requests that want or use a server, by stage: `read` is prefill, `write` is decode. */
 type Load = { read: number; write: number };
-/** A change must bring the utilization of the busier stage below this ratio of what it is. */
+/** A change must bring the utilization of the busier stage below this fraction of its present value. */
 const REQUIRED_GAIN_RATIO = 0.85;
 /** Below this utilization of the busier stage nothing is changed. */
 const MIN_UTILIZATION_RATIO = 0.6;
--- a/packages/counter/src/sheet.ts
+++ b/packages/counter/src/sheet.ts
@@ -2,7 +2,7 @@
 import type { Holding } from '@pumicebarrow/purge';
 import type { CharterBody, Mix, SheetRow, Sighting } from '@pumicebarrow/registry';
 
-type Rows = ReadonlyMap<string, { row: SheetRow; mark: Doc['mark'] }>;
+type Rows = ReadonlyMap<string, { row: SheetRow; stamp: Doc['mark'] }>;
 
 /**
  * Typed view of the records that gossip brings: configuration, stage assignments, prefill target, failure reports.
@@ -30,7 +30,7 @@
           rows = new Map(
             [...table.values()]
               .filter((d) => d.name.startsWith('row:'))
-              .map((d) => [(d.body as SheetRow).server, { row: d.body as SheetRow, mark: d.mark }]),
+              .map((d) => [(d.body as SheetRow).server, { row: d.body as SheetRow, stamp: d.mark }]),
           );
         }
         return rows;
