--- a/packages/counter/src/lending/lendingcontrol.ts
+++ b/packages/counter/src/lending/lendingcontrol.ts
@@ -13,7 +13,7 @@
     });
     const readVerdict = Verdicts.ran('read', 'As stored by the core.');
     return {
-      /** Starts a burst; acknowledged once the core has it on disk. Repeating it is harmless, whatever became of the first. */
+      /** Starts a burst; acknowledged once the core has it on disk. Repeating it is harmless in any case. */
       async begin(body: unknown): Promise<Answer> {
         const parsed = Check.parse(BurstSpec, body);
         if (parsed.err) return { verdict: Verdicts.bad(parsed.val) };
--- a/packages/counter/src/lending/lentchoice.ts
+++ b/packages/counter/src/lending/lentchoice.ts
@@ -25,9 +25,9 @@
     return {
       usable,
       roomy: (stage, route, reservedKey) => {
-        const servers = usable(stage);
-        const freeSlots = servers.reduce((n, s) => n + Math.max(0, free(s)), 0);
-        return servers.some((s) => fits(s, route.weight)) && deps.loads.at(reservedKey) + route.weight <= freeSlots;
+        const list = usable(stage);
+        const freeSlots = list.reduce((n, s) => n + Math.max(0, free(s)), 0);
+        return list.some((s) => fits(s, route.weight)) && deps.loads.at(reservedKey) + route.weight <= freeSlots;
       },
       prefill: (route, _prefix, excluded) => leastUtilized('prefill', route, excluded),
       decode: (route, _prefillServer, excluded) => leastUtilized('decode', route, excluded),
--- a/packages/counter/src/lending/runner.test.ts
+++ b/packages/counter/src/lending/runner.test.ts
@@ -130,7 +130,7 @@
     await s.read();
     expect(s.keys()).to.deep.equal(['a.0.1/1']);
   });
-  it('remembers after a failed read of the core which generation did not run and which burst needs a loan', async () => {
+  it('still knows after a failed read of the core what did not run and which burst needs a loan', async () => {
     const s = setup(1);
     s.begin('a');
     s.begin('b');
