--- a/packages/router/src/budget.test.ts
+++ b/packages/router/src/budget.test.ts
@@ -12,24 +12,27 @@
   title: string;
   routers: number;
   slack: number;
-  /** Requests at one router in one step, of which each asks for a further try. */
+  /** Requests at one router in one step; each of them asks for a retry. */
   requests: (router: number, step: number) => number;
-  /** What a fleet of this size had when each idle router could save one, if it is to have no less. */
-  least?: number;
+  /** Fewest retries the fleet may get: as many as when each idle router could save one. */
+  minRetries?: number;
 };
 const STEPS = WINDOW / STEP;
-const once = (_: number, step: number): number => (step === 0 ? 1 : 0);
-const each =
+const firstStepOnly = (_: number, step: number): number => (step === 0 ? 1 : 0);
+const evenly =
   (many: number) =>
   (router: number, step: number): number =>
     Math.floor(((step + 1) * many + router) / STEPS) - Math.floor((step * many + router) / STEPS);
-const first = (_: number, step: number): number => (step < STEPS ? each(20)(0, step) : 0);
-const one = (router: number, step: number): number => (router === 0 ? each(400)(0, step) : 0);
-const wave = (router: number, step: number): number =>
-  Math.floor(step / STEPS) % 2 === 0 ? each(13)(router, step) : 0;
+const firstWindowOnly = (_: number, step: number): number => (step < STEPS ? evenly(20)(0, step) : 0);
+const allAtOneRouter = (router: number, step: number): number => (router === 0 ? evenly(400)(0, step) : 0);
+const everyOtherWindow = (router: number, step: number): number =>
+  Math.floor(step / STEPS) % 2 === 0 ? evenly(13)(router, step) : 0;
 
-/** Budgets of a fleet after hours without a request; the times of all requests and of all tries taken. */
-const play = (c: Case, owes = false): { asked: number[]; taken: number[] } => {
+/**
+ * Runs the budgets of a fleet after hours without a request; returns the steps of all requests and of all retries
+ * taken.
+ */
+const simulate = (c: Case, chargesCutReads = false): { asked: number[]; taken: number[] } => {
   let now = 0;
   const clock = { mono: () => now, wall: () => now, after: () => () => undefined };
   const terms = { ratio: RATIO, window: WINDOW, slack: c.slack };
@@ -49,7 +52,7 @@
         b.request();
         asked.push(step);
         if (b.take()) taken.push(step);
-        if (!owes || !b.bears()) continue;
+        if (!chargesCutReads || !b.canCharge()) continue;
         b.owe();
         taken.push(step);
       }
@@ -57,7 +60,7 @@
   }
   return { asked, taken };
 };
-/** By how many tries a window holds more than it may; requests are counted in it or in the one before. */
+/** By how many retries a window exceeds its limit; requests are counted in that window or in the one before it. */
 const excess = (c: Case, asked: readonly number[], taken: readonly number[]): number => {
   const sums = (list: readonly number[]): number[] => {
     const out = new Array<number>(STEPS * WINDOWS + 1).fill(0);
@@ -73,15 +76,15 @@
     ...t.map((_, to) => within(t, to) - RATIO * Math.max(within(a, to), within(a, to - STEPS)) - c.slack),
   );
 };
-const some = (title: string, requests: Case['requests'], ...fleets: [number, number, number?][]): Case[] =>
+const casesFor = (title: string, requests: Case['requests'], ...fleets: [number, number, number?][]): Case[] =>
   fleets.map(([routers, slack, least]) => ({
     ...{ title, routers, slack, requests },
     ...(least === undefined ? {} : { least }),
   }));
 const cases: Case[] = [
-  ...some(
-    'one request at each at once',
-    once,
+  ...casesFor(
+    'one request at each router at once',
+    firstStepOnly,
     [7, 54, 7],
     [9, 54, 9],
     [80, 200, 80],
@@ -91,9 +94,9 @@
     [2900, 54],
     [2900, 3000],
   ),
-  ...some(
-    'one request at each in a window',
-    each(1),
+  ...casesFor(
+    'one request at each router per window',
+    evenly(1),
     [7, 54, 28],
     [9, 54, 36],
     [80, 200, 320],
@@ -103,33 +106,60 @@
     [2900, 54],
     [2900, 3000],
   ),
-  ...some('twelve requests at each in a window', each(12), [9, 54, 153], [80, 200, 800], [400, 20], [2900, 20]),
-  ...some('thirteen requests at each in one window of two', wave, [9, 54, 108], [80, 200, 480], [400, 20], [2900, 20]),
-  ...some('twenty requests at each in the first window', first, [9, 54, 54], [80, 200, 320], [2900, 20]),
-  ...some('121 requests at each in a window', each(121), [7, 54, 511], [9, 54, 621], [80, 200, 4880], [2900, 20]),
-  ...some('all requests at one router', one, [9, 54, 203], [80, 200, 178], [2900, 20]),
+  ...casesFor(
+    'twelve requests at each router per window',
+    evenly(12),
+    [9, 54, 153],
+    [80, 200, 800],
+    [400, 20],
+    [2900, 20],
+  ),
+  ...casesFor(
+    'thirteen requests at each router in every other window',
+    everyOtherWindow,
+    [9, 54, 108],
+    [80, 200, 480],
+    [400, 20],
+    [2900, 20],
+  ),
+  ...casesFor(
+    'twenty requests at each router in the first window',
+    firstWindowOnly,
+    [9, 54, 54],
+    [80, 200, 320],
+    [2900, 20],
+  ),
+  ...casesFor(
+    '121 requests at each router per window',
+    evenly(121),
+    [7, 54, 511],
+    [9, 54, 621],
+    [80, 200, 4880],
+    [2900, 20],
+  ),
+  ...casesFor('all requests at one router', allAtOneRouter, [9, 54, 203], [80, 200, 178], [2900, 20]),
 ];
 
-describe('the budgets of a fleet', () => {
+describe('the retry budgets of a fleet', () => {
   for (const c of cases)
     it(`${c.routers} routers, slack ${c.slack}: ${c.title}`, () => {
-      const { asked, taken } = play(c);
+      const { asked, taken } = simulate(c);
       expect(asked).not.to.have.length(0);
       expect(excess(c, asked, taken)).to.be.at.most(0);
-      if (c.least !== undefined) expect(taken.length).to.be.at.least(c.least);
+      if (c.minRetries !== undefined) expect(taken.length).to.be.at.least(c.minRetries);
     });
 });
 
-describe('the budgets of a fleet whose reads are cut', () => {
+describe('the retry budgets of a fleet that also charges cut reads', () => {
   for (const c of cases)
     it(`${c.routers} routers, slack ${c.slack}: ${c.title}`, () => {
-      const { asked, taken } = play(c, true);
+      const { asked, taken } = simulate(c, true);
       expect(excess(c, asked, taken)).to.be.at.most(0);
-      expect(taken.length).to.be.at.least(play(c).taken.length);
+      expect(taken.length).to.be.at.least(simulate(c).taken.length);
     });
 });
 
-describe('the budgets of services', () => {
+describe('retry budgets per service', () => {
   const clock = { mono: () => IDLE, wall: () => IDLE, after: () => () => undefined };
   const make = () =>
     Budgets.make(
@@ -137,12 +167,12 @@
       () => ({ ratio: RATIO, window: WINDOW, slack: 0 }),
       () => 1,
     );
-  it('give a service that fails no further tries for the requests of another', () => {
+  it('give a failing service no retries for the requests of another', () => {
     const all = make();
     for (let i = 0; i < 1000; i++) all.of('a').request();
     expect([all.of('b').take(), all.of('a').take()]).to.deep.equal([false, true]);
   });
-  it('are as many as were used last, and begin with nothing', () => {
+  it('keep the most recently used services, and start empty', () => {
     const all = make();
     for (let i = 0; i < 1000; i++) all.of('a').request();
     for (let i = 0; i < 255; i++) all.of(`s${i}`).request();
--- a/packages/router/src/budget.ts
+++ b/packages/router/src/budget.ts
@@ -1,74 +1,82 @@
 import type { Clock } from '@pumicebarrow/forms';
 
-type Terms = { ratio: number; window: number; slack: number };
-/**
- * The part of the ratio that is earned by each request; the rest is left for what was earned by those of the window
- * before.
- */
-const RATIO = 0.6;
-/** The part of the slack that is earned in a window, and that may be saved; the rest is for counts that lag. */
-const SLACK = 0.4;
-const SAVED = 0.5;
-const UNKNOWN = 40;
-/** Parts of a window in which requests are counted. */
-const PARTS = 10;
+type RetryBudgetTerms = { ratio: number; window: number; slack: number };
+/** Fraction of `ratio` that a request earns; the remainder covers what the requests of the previous window earned. */
+const REQUEST_EARNING_FRACTION = 0.6;
+/** Fraction of the slack earned per window, which may also be saved; the remainder covers counts that lag. */
+const SLACK_EARNING_FRACTION = 0.4;
+/** Fraction of the slack share that savings and debt may use. */
+const SAVED_SLACK_FRACTION = 0.5;
+/** Fleet size assumed while the number of daemons is unknown. */
+const ASSUMED_DAEMONS = 40;
+/** Sub-intervals of a window in which requests are counted. */
+const WINDOW_PARTS = 10;
 
 /**
- * Further tries this daemon may still make. Invariants: over any window, all daemons together take less than
- * `ratio` a request plus `slack`, for any split of the traffic and any number of daemons, where the requests are those
- * of that window or of the one before it, whichever were more: each earns a part of `ratio` by its own requests, and
- * its share of `slack` by time; what all may have saved adds up to a part of `slack` and one of what the last window's
- * requests bring, and what all may owe is the rest of that. A daemon that doesn't know how many there are takes the
- * share of one of many.
+ * Token bucket for retries, that is, for sends beyond the first one of a request. Invariants: over any window, all
+ * daemons together spend less than `ratio` per request plus `slack`, for any split of the traffic and any number of
+ * daemons. The requests counted are those of that window or of the one before it, whichever were more. Each daemon
+ * earns a part of `ratio` by its own requests, and its share of `slack` with time. What all daemons may have saved adds
+ * up to a part of `slack` plus a part of what the requests of the last window bring; what they may owe is limited to
+ * the rest of that. A daemon that does not know the fleet size takes the share of one in a large fleet.
  */
 export const Budget = {
-  make(clock: Clock, terms: () => Terms, daemons: () => number | null) {
+  make(clock: Clock, terms: () => RetryBudgetTerms, daemonCount: () => number | null) {
     let level = 0;
-    let at = clock.mono();
-    const parts: { part: number; requests: number }[] = [];
-    const share = (): number => terms().slack / Math.max(1, daemons() ?? UNKNOWN);
-    const part = (): number => Math.floor((clock.mono() * PARTS) / terms().window);
-    /** Requests of the last window, of whole parts only, so that none older is among them. */
-    const recent = (): number => {
-      const now = part();
-      while (parts.length > 0 && parts[0]!.part <= now - PARTS) parts.shift();
-      return parts.reduce((sum, p) => sum + p.requests, 0);
+    let accruedAt = clock.mono();
+    const partCounts: { part: number; requests: number }[] = [];
+    const slackShare = (): number => terms().slack / Math.max(1, daemonCount() ?? ASSUMED_DAEMONS);
+    const currentPart = (): number => Math.floor((clock.mono() * WINDOW_PARTS) / terms().window);
+    /** Requests of the last window. Only whole sub-intervals count, so that no older request is included. */
+    const requestsInWindow = (): number => {
+      const now = currentPart();
+      while (partCounts.length > 0 && partCounts[0]!.part <= now - WINDOW_PARTS) partCounts.shift();
+      return partCounts.reduce((sum, p) => sum + p.requests, 0);
     };
-    /** What the saved and the owed may add up to. */
-    const spare = (): number => share() * SAVED + terms().ratio * (1 - RATIO) * recent();
-    /** A whole try is saved only where the shares of all, or this daemon's own requests, allow for one. */
-    const most = (): number => Math.max(share() * SLACK, Math.min(1, spare()));
-    const tick = (): void => {
+    /** Upper bound of savings and debt together. */
+    const savingsAndDebtLimit = (): number =>
+      slackShare() * SAVED_SLACK_FRACTION + terms().ratio * (1 - REQUEST_EARNING_FRACTION) * requestsInWindow();
+    /** One whole retry can be saved only if the share of the slack, or the daemon's own requests, allow for one. */
+    const maxLevel = (): number => Math.max(slackShare() * SLACK_EARNING_FRACTION, Math.min(1, savingsAndDebtLimit()));
+    const accrue = (): void => {
       const now = clock.mono();
-      level = Math.min(most(), level + (share() * SLACK * (now - at)) / terms().window);
-      at = now;
+      level = Math.min(
+        maxLevel(),
+        level + (slackShare() * SLACK_EARNING_FRACTION * (now - accruedAt)) / terms().window,
+      );
+      accruedAt = now;
     };
     return {
+      /** Counts a request of this daemon and credits what it earns. */
       request(): void {
-        tick();
-        const now = part();
-        if (parts.at(-1)?.part === now) parts.at(-1)!.requests++;
-        else parts.push({ part: now, requests: 1 });
-        level = Math.min(most(), level + terms().ratio * RATIO);
+        accrue();
+        const now = currentPart();
+        if (partCounts.at(-1)?.part === now) partCounts.at(-1)!.requests++;
+        else partCounts.push({ part: now, requests: 1 });
+        level = Math.min(maxLevel(), level + terms().ratio * REQUEST_EARNING_FRACTION);
       },
+      /** Takes one retry; false if less than a whole one is saved. */
       take(): boolean {
-        tick();
+        accrue();
         if (level < 1) return false;
         level -= 1;
         return true;
       },
-      /** Whether one more may be owed, where what was sent counts already and only what follows it can be left. */
-      bears(): boolean {
-        tick();
-        return level - 1 >= Math.min(0, most() - spare());
+      /**
+       * Whether one more send may be charged: the level may become negative as long as later requests can cover the
+       * debt.
+       */
+      canCharge(): boolean {
+        accrue();
+        return level - 1 >= Math.min(0, maxLevel() - savingsAndDebtLimit());
       },
-      /** Something was sent that counts as a further try, or may: it is paid for by those that come after. */
+      /** Charges a send that counts as a retry, or may count as one, after it was made; later requests pay for it. */
       owe(): void {
-        tick();
+        accrue();
         level -= 1;
       },
       level(): number {
-        tick();
+        accrue();
         return level;
       },
     };
--- a/packages/router/src/certainty.ts
+++ b/packages/router/src/certainty.ts
@@ -1,39 +1,39 @@
 import { Timer, type Clock } from '@pumicebarrow/forms';
 
-/** ms between two tries to learn of the newest configuration. */
-const WAIT = 100;
-type Tools = {
+/** Pause between two attempts to confirm the configuration. */
+const RETRY_INTERVAL_MS = 100;
+type Dependencies = {
   clock: Clock;
-  /** Whether this daemon still wants to know. */
+  /** Whether this daemon still needs the confirmation. */
   wanted: () => boolean;
-  /** Asks for the newest configuration; true once what is held is known to be no older. */
+  /** Asks for the newest configuration; true once the one held is known to be no older. */
   ask: () => Promise<boolean>;
   found: () => void;
 };
 
 /**
- * Whether this daemon is certain that no configuration in force when it asked is newer than the one it holds.
- * Invariant: it is asked for by one loop at a time, until it is found or nobody wants to know.
+ * Tracks whether the configuration held is known to be at least as new as any that was in force when this daemon asked.
+ * Invariant: at most one loop asks at a time, until it is confirmed or nobody needs to know.
  */
 export const Certainty = {
-  make(t: Tools) {
-    let certain = false;
-    let seeking = false;
+  make(deps: Dependencies) {
+    let confirmed = false;
+    let confirming = false;
     return {
-      is: (): boolean => certain,
-      /** This daemon stood still for a while, and anything may have happened. */
+      is: (): boolean => confirmed,
+      /** Called after the process was suspended for a while, since the configuration may have changed meanwhile. */
       lose(): void {
-        certain = false;
+        confirmed = false;
       },
       async seek(): Promise<void> {
-        if (seeking) return;
-        seeking = true;
-        while (!certain && t.wanted()) {
-          certain = await t.ask();
-          if (certain) t.found();
-          else await Timer.nap(t.clock, WAIT);
+        if (confirming) return;
+        confirming = true;
+        while (!confirmed && deps.wanted()) {
+          confirmed = await deps.ask();
+          if (confirmed) deps.found();
+          else await Timer.nap(deps.clock, RETRY_INTERVAL_MS);
         }
-        seeking = false;
+        confirming = false;
       },
     };
   },
--- a/packages/router/src/changing.ts
+++ b/packages/router/src/changing.ts
@@ -3,31 +3,35 @@
 import type { ChangesBody } from './changesbody.js';
 import type { Server } from './server.js';
 
-const opened = new WeakMap<ChangesBody, ReadonlyMap<string, 'prefill' | 'decode'>>();
-const rows = (body: ChangesBody): ReadonlyMap<string, 'prefill' | 'decode'> => {
-  const old = opened.get(body);
-  if (old) return old;
-  const made = new Map(body.rows);
-  opened.set(body, made);
-  return made;
+/** Parsed batches by record body, so that each body is parsed once. */
+const batchCache = new WeakMap<ChangesBody, ReadonlyMap<string, 'prefill' | 'decode'>>();
+const batchOf = (body: ChangesBody): ReadonlyMap<string, 'prefill' | 'decode'> => {
+  const cached = batchCache.get(body);
+  if (cached) return cached;
+  const parsed = new Map(body.rows);
+  batchCache.set(body, parsed);
+  return parsed;
 };
 
-/** What the casting sheet says beside the list. */
+/** Reads stage changes that the server list does not show yet from the stage assignments in the record store. */
 export const Changing = {
-  /** Those that change together, and to which stage. */
-  together(shelf: Holding): ReadonlyMap<string, 'prefill' | 'decode'> {
-    const body = shelf.get('changes')?.body as ChangesBody | undefined;
-    return body ? rows(body) : new Map();
+  /** Servers that change together as one batch, with the stage each of them changes to. */
+  batch(store: Holding): ReadonlyMap<string, 'prefill' | 'decode'> {
+    const body = store.get('changes')?.body as ChangesBody | undefined;
+    return body ? batchOf(body) : new Map();
   },
-  /** One that was ordered to a stage which the list does not show yet takes nothing by its old one; as told now. */
-  now(shelf: Holding): (s: Server) => boolean {
-    const together = Changing.together(shelf);
-    return (s) => {
-      const row = shelf.get(`row:${s.id}`)?.body as SheetRow | undefined;
-      if (row?.stage === 'draining' && row.part !== s.stage) return true;
-      const part = together.get(s.id);
-      return part !== undefined && part !== s.stage;
+  /**
+   * Returns a predicate that is true for servers ordered to a stage that the list does not show yet, by the records
+   * held now. Such a server must not be used by its old stage.
+   */
+  now(store: Holding): (s: Server) => boolean {
+    const batch = Changing.batch(store);
+    return (server) => {
+      const row = store.get(`row:${server.id}`)?.body as SheetRow | undefined;
+      if (row?.stage === 'draining' && row.part !== server.stage) return true;
+      const nextStage = batch.get(server.id);
+      return nextStage !== undefined && nextStage !== server.stage;
     };
   },
-  of: (shelf: Holding, s: Server): boolean => Changing.now(shelf)(s),
+  isChanging: (store: Holding, server: Server): boolean => Changing.now(store)(server),
 };
--- a/packages/router/src/deferral.test.ts
+++ b/packages/router/src/deferral.test.ts
@@ -3,19 +3,19 @@
 import { FirstTries } from './firsttries.js';
 import { routing } from './stand.test.js';
 
-describe('the deferral of a request', () => {
+describe('request deferral', () => {
   const late = { foreseen: 1500, alone: 200, aim: 800, left: 8000, first: true };
   const cases: [string, Partial<typeof late>, number, number | null][] = [
-    ['one that makes its aim stays', { foreseen: 790 }, 0, null],
-    ['one that would be late comes back once the queue should be shorter', {}, 0, 1320],
-    ['not all at the same time', {}, 1, 2020],
-    ['never sooner than a queue changes', { foreseen: 801, aim: 800 }, 0, 481.2],
-    ['never later than the client heeds', { foreseen: 9000 }, 0, 2560],
-    ['one that was sent away before stays', { first: false }, 0, null],
-    ['one that would be late even alone stays', { alone: 800 }, 0, null],
-    ['one without time to come back stays', { left: 900 }, 0, null],
-    ['one that would come back too late for its aim stays', { left: 1300 }, 0, null],
-    ['one without an aim stays', { aim: 0 }, 0, null],
+    ['keeps a request that meets its latency target', { foreseen: 790 }, 0, null],
+    ['defers a late request until the queue should be shorter', {}, 0, 1320],
+    ['spreads the return of deferred requests', {}, 1, 2020],
+    ['never defers for less than the minimum delay', { foreseen: 801, aim: 800 }, 0, 481.2],
+    ['never defers for longer than the client honors', { foreseen: 9000 }, 0, 2560],
+    ['keeps a request that was deferred before', { first: false }, 0, null],
+    ['keeps a request that would be late even without a queue', { alone: 800 }, 0, null],
+    ['keeps a request without time to come back', { left: 900 }, 0, null],
+    ['keeps a request that would come back too late for its target', { left: 1300 }, 0, null],
+    ['keeps a request without a latency target', { aim: 0 }, 0, null],
   ];
   for (const [name, c, chance, want] of cases)
     it(name, () => {
@@ -23,7 +23,7 @@
       if (want === null) expect(got).to.equal(null);
       else expect(got).to.be.closeTo(want, 0.001);
     });
-  it('tells first tries from further ones by the time that the client has left', () => {
+  it('distinguishes first attempts from retries by the time that the client has left', () => {
     const firsts = FirstTries.make();
     const a = { ...routing().routes[0]!, name: 'a', timeout: 8000 },
       b = { ...a, name: 'b', timeout: 9000 };
--- a/packages/router/src/deferral.ts
+++ b/packages/router/src/deferral.ts
@@ -1,34 +1,47 @@
-/** The part of the aim that is left to the queue when a deferred request comes back. */
-const EASED = 0.5;
-/** How much longer than the queue should need, and a spread, in ms, so that they don't all come back at once. */
-const SLOWER = 1.2;
-const SPREAD = 700;
-const LEAST = 300;
-/** The part of the time left within which a client comes back as told, and what it needs then, in aims. */
-const HEEDED = 0.32;
-const NEEDED = 1.2;
+/** Fraction of the latency target that the queue may still take when the deferred request comes back. */
+const REMAINING_AIM_FRACTION = 0.5;
+/**
+ * Safety margin on the estimated queue time, and a random spread in ms, so that deferred requests do not all come back
+ * at once.
+ */
+const ESTIMATE_MARGIN_FACTOR = 1.2;
+const RETRY_SPREAD_MS = 700;
+const MIN_DELAY_MS = 300;
+/**
+ * Longest delay that clients are known to honor, as a fraction of the time they have left; and the time a request needs
+ * after its return, in multiples of its latency target.
+ */
+const HONORED_DELAY_FRACTION = 0.32;
+const MIN_REMAINING_AIMS = 1.2;
 
-type Case = {
-  /** ms until its first event if it is taken now, and if nothing else were waiting. */
+type DeferralInput = {
+  /** Expected ms to the first event if the request is taken now, and if nothing else were queued. */
   foreseen: number;
   alone: number;
+  /** Latency target for the first event, in ms. */
   aim: number;
-  /** ms that the client will still wait. */
+  /** Time for which the client will still wait, in ms. */
   left: number;
+  /** Whether this is the client's first attempt. */
   first: boolean;
 };
 
 /**
- * Whether a request that would miss its aim now had better come back once the queue is shorter, and after how many ms.
- * Invariants: only a first try is deferred, so that none is sent away twice; only one that would make its aim if it
- * were alone; and only where the client comes back as told with time for its aim.
+ * Decides whether a request that would miss its latency target now should come back once the queue is shorter, and
+ * after how many ms. Invariants: only a first attempt is deferred, so no request is sent away twice; only a request
+ * that would meet its target without a queue; and only if the client, coming back as told, still has time to meet the
+ * target.
  */
 export const Deferral = {
-  of(c: Case, chance: number): number | null {
-    if (!c.first || c.foreseen <= c.aim || c.alone >= c.aim) return null;
-    const wait = Math.max(LEAST, (c.foreseen - c.aim * EASED) * SLOWER + chance * SPREAD);
-    const most = c.left * HEEDED;
-    if (most < LEAST || c.left - Math.min(wait, most) < c.aim * NEEDED) return null;
-    return Math.min(wait, most);
+  of(input: DeferralInput, random: number): number | null {
+    if (!input.first || input.foreseen <= input.aim || input.alone >= input.aim) return null;
+    const delayMs = Math.max(
+      MIN_DELAY_MS,
+      (input.foreseen - input.aim * REMAINING_AIM_FRACTION) * ESTIMATE_MARGIN_FACTOR + random * RETRY_SPREAD_MS,
+    );
+    const maxDelayMs = input.left * HONORED_DELAY_FRACTION;
+    if (maxDelayMs < MIN_DELAY_MS || input.left - Math.min(delayMs, maxDelayMs) < input.aim * MIN_REMAINING_AIMS)
+      return null;
+    return Math.min(delayMs, maxDelayMs);
   },
 };
--- a/packages/router/src/firsttries.ts
+++ b/packages/router/src/firsttries.ts
@@ -1,26 +1,31 @@
 import type { Route } from '@pumicebarrow/forms';
 
-/** What rounding may take off the time that a client tells, in ms. */
-const SLACK = 2;
-/** So many requests of a route show how long its clients wait; before that, the route's own limit stands for it. */
-const ENOUGH = 8;
-const MOST = 10_000;
-type Row = { most: number; seen: number };
+/** Error that rounding may cause in the timeout that a client states. */
+const ROUNDING_TOLERANCE_MS = 2;
+/**
+ * Requests of a route after which their stated timeouts are trusted; before that, the route's own timeout is the lower
+ * bound.
+ */
+const MIN_SAMPLES = 8;
+const MAX_ROUTES = 10_000;
+type RouteWaits = { longestWaitMs: number; samples: number };
 
 /**
- * Whether a request is its client's first try, by the time the client says that it will wait: a further try has less
- * than first tries on that route have. Invariant: a guess that orders and defers, and never decides what may run.
+ * Guesses whether a request is its client's first attempt from the time the client says it will wait: a retry has less
+ * time left than first attempts on that route. Invariant: the guess only affects ordering and deferral, never whether a
+ * request may run.
  */
 export const FirstTries = {
   make() {
-    const rows = new Map<string, Row>();
+    const rows = new Map<string, RouteWaits>();
     return {
-      is(route: Route, wait: number): boolean {
-        if (rows.size >= MOST) rows.clear();
-        const row = rows.get(route.name) ?? { most: 0, seen: 0 };
-        rows.set(route.name, { most: Math.max(row.most, wait), seen: row.seen + 1 });
-        const known = row.seen < ENOUGH ? Math.max(row.most, route.timeout) : row.most;
-        return wait >= known - SLACK;
+      is(route: Route, waitMs: number): boolean {
+        if (rows.size >= MAX_ROUTES) rows.clear();
+        const row = rows.get(route.name) ?? { longestWaitMs: 0, samples: 0 };
+        rows.set(route.name, { longestWaitMs: Math.max(row.longestWaitMs, waitMs), samples: row.samples + 1 });
+        const firstAttemptWaitMs =
+          row.samples < MIN_SAMPLES ? Math.max(row.longestWaitMs, route.timeout) : row.longestWaitMs;
+        return waitMs >= firstAttemptWaitMs - ROUNDING_TOLERANCE_MS;
       },
     };
   },
--- a/packages/router/src/headline.ts
+++ b/packages/router/src/headline.ts
@@ -6,9 +6,10 @@
 import type { ServerListing } from './serverlisting.js';
 import { Words } from './words.js';
 
-type Tools = {
+type Dependencies = {
   clock: Clock;
   post: PostBox;
+  /** Client of the control replicas. */
   line: ControlClient;
   shelf: Holding;
   purge: Purging;
@@ -18,90 +19,98 @@
   /** Reads the configuration at the tail. */
   tail: (ms: number) => Promise<boolean>;
 };
-const ASK = 500;
-/** ms that gossip is given before what is newer is fetched from the head. */
-const LAG = 500;
+const REQUEST_TIMEOUT_MS = 500;
+/** How long gossip may take to bring a newer version before it is fetched from the head. */
+const GOSSIP_GRACE_MS = 500;
 
 /**
- * A router's word with the chain's head: what it holds, and whether that is the newest.
- * Invariants: the list's youth is taken from the head alone, and counted from before it was asked; what gossip has not
- * brought within LAG is fetched, and counted apart; where versions come in quick succession, each has its own LAG.
+ * A router's check-in with the head of the chain: reports which versions it holds and learns whether they are the
+ * newest. Invariants: the freshness of the server list comes from the head alone and is counted from before the request
+ * was sent; what gossip does not bring within GOSSIP_GRACE_MS is fetched, and counted separately; if versions follow
+ * each other quickly, each has its own grace period.
  */
 export const HeadLine = {
-  make(t: Tools) {
-    let routers: number | null = null;
+  make(deps: Dependencies) {
+    let routerCount: number | null = null;
     let peers: readonly Ident[] = [];
-    let sum = Hash.of(peers);
-    let told = -Infinity;
-    /** When what is held was last known to be the newest configuration. */
-    let confirmed = -Infinity;
-    let opened: Mark | null = null;
-    let wanted: { version: number; at: number } | null = null;
-    let listAt = -1;
-    const count = { fetchedVersions: 0, fetchedLists: 0 };
-    /** A version counts as late by itself: where one follows the other, gossip that brings each in time keeps up. */
-    const want = (newest: number): void => {
-      const held = t.version();
-      if (newest <= held) wanted = null;
-      else if (!wanted || wanted.version <= held) wanted = { version: newest, at: t.clock.mono() };
+    let peersDigest = Hash.of(peers);
+    let lastReplyAt = -Infinity;
+    /** When the configuration held was last known to be the newest. */
+    let lastConfirmedAt = -Infinity;
+    let appliedMark: Mark | null = null;
+    let awaited: { version: number; at: number } | null = null;
+    let listOutdatedSince = -1;
+    const counts = { fetchedVersions: 0, fetchedLists: 0 };
+    /**
+     * Starts the grace period of each version separately, so that gossip that brings every version in time never counts
+     * as late.
+     */
+    const recordNewest = (newest: number): void => {
+      const held = deps.version();
+      if (newest <= held) awaited = null;
+      else if (!awaited || awaited.version <= held) awaited = { version: newest, at: deps.clock.mono() };
     };
     const fetchList = async (addr: string, id: string): Promise<void> => {
-      const got = await t.post.ask(addr, id, 'purge.pull', { name: 'list' }, Slips.pulled, ASK);
-      if (got.ok && got.val.doc && t.purge.learn(got.val.doc, 'head')) count.fetchedLists++;
+      const reply = await deps.post.ask(addr, id, 'purge.pull', { name: 'list' }, Slips.pulled, REQUEST_TIMEOUT_MS);
+      if (reply.ok && reply.val.doc && deps.purge.learn(reply.val.doc, 'head')) counts.fetchedLists++;
     };
-    const catchUp = async (addr: string, id: string): Promise<void> => {
-      const now = t.clock.mono();
-      if (listAt >= 0 && now - listAt > LAG) await fetchList(addr, id);
-      if (wanted && now - wanted.at > LAG && (await t.tail(400))) count.fetchedVersions++;
+    const fetchIfGossipIsLate = async (addr: string, id: string): Promise<void> => {
+      const now = deps.clock.mono();
+      if (listOutdatedSince >= 0 && now - listOutdatedSince > GOSSIP_GRACE_MS) await fetchList(addr, id);
+      if (awaited && now - awaited.at > GOSSIP_GRACE_MS && (await deps.tail(400))) counts.fetchedVersions++;
     };
-    const compare = (mark: Mark | null, age: number, sent: number): boolean => {
-      const held = t.shelf.get('list');
+    const compareList = (mark: Mark | null, age: number, sentAt: number): boolean => {
+      const held = deps.shelf.get('list');
       if (!mark || !held || Order.newer(mark, held.mark)) return false;
       if (Order.cmp(mark, held.mark) !== 0) return true;
-      // What is held is opened once; then its youth alone is news, unless a list of another asking came between.
-      const known = opened !== null && Order.cmp(mark, opened) === 0;
-      if (known && t.list.confirm(sent - age)) return true;
-      if (t.list.take(ListRows.open(held.body as ListBody), sent - age, 'shared')) opened = mark;
+      // A list is unpacked once; after that only its freshness is updated, unless a list from another source replaced
+      // it meanwhile.
+      const alreadyApplied = appliedMark !== null && Order.cmp(mark, appliedMark) === 0;
+      if (alreadyApplied && deps.list.confirm(sentAt - age)) return true;
+      if (deps.list.take(ListRows.open(held.body as ListBody), sentAt - age, 'shared')) appliedMark = mark;
       return true;
     };
-    const ask = async (): Promise<boolean> => {
-      const view = t.line.view();
+    const checkIn = async (): Promise<boolean> => {
+      const view = deps.line.view();
       if (!view) return false;
       const head = Views.head(view);
-      const sent = t.clock.mono();
+      const sentAt = deps.clock.mono();
       const body = {
-        ...{ version: t.version(), list: t.shelf.mark('list'), epoch: view.epoch },
-        ...{ peers: sum, load: t.load() },
+        ...{ version: deps.version(), list: deps.shelf.mark('list'), epoch: view.epoch },
+        ...{ peers: peersDigest, load: deps.load() },
       };
-      const r = await t.post.ask(head.addr, head.id, 'keeper.checkin', body, Words.checked, ASK);
-      if (!r.ok) return false;
-      t.line.learn(r.val.view);
-      if (!r.val.ok) return false;
-      told = sent;
-      if (r.val.version <= body.version) confirmed = sent;
-      routers = r.val.routers;
-      if (r.val.peers) {
-        peers = r.val.peers;
-        sum = Hash.of(peers);
+      const reply = await deps.post.ask(head.addr, head.id, 'keeper.checkin', body, Words.checked, REQUEST_TIMEOUT_MS);
+      if (!reply.ok) return false;
+      deps.line.learn(reply.val.view);
+      if (!reply.val.ok) return false;
+      lastReplyAt = sentAt;
+      if (reply.val.version <= body.version) lastConfirmedAt = sentAt;
+      routerCount = reply.val.routers;
+      if (reply.val.peers) {
+        peers = reply.val.peers;
+        peersDigest = Hash.of(peers);
       }
-      const fits = compare(r.val.list, r.val.age, sent);
-      want(r.val.version);
-      if (r.val.list === null || fits) listAt = -1;
-      else if (listAt < 0) listAt = t.clock.mono();
-      await catchUp(head.addr, head.id);
+      const listIsCurrent = compareList(reply.val.list, reply.val.age, sentAt);
+      recordNewest(reply.val.version);
+      if (reply.val.list === null || listIsCurrent) listOutdatedSince = -1;
+      else if (listOutdatedSince < 0) listOutdatedSince = deps.clock.mono();
+      await fetchIfGossipIsLate(head.addr, head.id);
       return true;
     };
     return {
       async tick(): Promise<void> {
-        if (!(await ask())) await t.line.look();
+        if (!(await checkIn())) await deps.line.look();
       },
-      routers: (): number | null => routers,
+      routers: (): number | null => routerCount,
       peers: (): readonly Ident[] => peers,
-      /** ms since the head last replied as such, counted from before it was asked. */
-      silent: (): number => t.clock.mono() - told,
-      /** ms since the head last said that nothing is newer than the configuration held, from before it was asked. */
-      unconfirmed: (): number => t.clock.mono() - confirmed,
-      count: () => ({ ...count }),
+      /** Time since the head last replied as head, counted from before the request was sent. */
+      silent: (): number => deps.clock.mono() - lastReplyAt,
+      /**
+       * Time since the head last confirmed that no configuration is newer than the one held, counted from before the
+       * request was sent.
+       */
+      unconfirmed: (): number => deps.clock.mono() - lastConfirmedAt,
+      counts: () => ({ ...counts }),
     };
   },
 };
--- a/packages/router/src/heard.ts
+++ b/packages/router/src/heard.ts
@@ -1,9 +1,12 @@
-/** What comes of a run, as it comes. */
+/** Receives the output of a run as it arrives from the server. */
 export type Heard = {
-  /** The server's answer begins. False: it is not wanted, and nothing of it goes out. */
+  /** Response status and headers. Returns false if the response is not wanted; then nothing of it is forwarded. */
   head(status: number, headers: readonly (readonly [string, string])[]): boolean;
-  /** Bytes of a whole event with its id, or of a body that is no stream (id null). False: no more is wanted. */
+  /**
+   * Bytes of one whole event with its id, or of a body that is not an event stream (id null). Returns false if no more
+   * is wanted.
+   */
   event(id: string | null, bytes: Uint8Array): boolean;
-  /** Any byte at all: the server is alive. */
+  /** Called for any byte received, as a sign that the server is alive. */
   stir(): void;
 };
--- a/packages/router/src/keptparts.ts
+++ b/packages/router/src/keptparts.ts
@@ -1,72 +1,76 @@
 import type { Prompt } from './prompt.js';
 
-const MOST = 4000;
+const MAX_PREFIXES_PER_SERVER = 4000;
 
-type Link = { key: string; tokens: number };
-/** Parts by name, the least lately used first; `sum` is of their tokens. */
-type Kept = { parts: Map<string, number>; sum: number; most: number };
-const put = (kept: Kept, key: string, tokens: number): void => {
-  kept.sum -= kept.parts.get(key) ?? 0;
-  kept.parts.delete(key);
-  if (tokens > kept.most) return;
-  kept.parts.set(key, tokens);
-  kept.sum += tokens;
-  for (const [old, n] of kept.parts) {
-    if (kept.sum <= kept.most && kept.parts.size <= MOST) return;
-    kept.parts.delete(old);
-    kept.sum -= n;
+type Prefix = { key: string; tokens: number };
+/** Prefixes by key, least recently used first; `totalTokens` is the sum of their tokens. */
+type ServerPrefixes = { tokensByKey: Map<string, number>; totalTokens: number; capacityTokens: number };
+const insert = (prefixes: ServerPrefixes, key: string, tokens: number): void => {
+  prefixes.totalTokens -= prefixes.tokensByKey.get(key) ?? 0;
+  prefixes.tokensByKey.delete(key);
+  if (tokens > prefixes.capacityTokens) return;
+  prefixes.tokensByKey.set(key, tokens);
+  prefixes.totalTokens += tokens;
+  for (const [evictedKey, evictedTokens] of prefixes.tokensByKey) {
+    if (prefixes.totalTokens <= prefixes.capacityTokens && prefixes.tokensByKey.size <= MAX_PREFIXES_PER_SERVER) return;
+    prefixes.tokensByKey.delete(evictedKey);
+    prefixes.totalTokens -= evictedTokens;
   }
 };
-const made = new WeakMap<Prompt['parts'], { model: string; links: readonly Link[] }>();
-/** The names of a prompt's prefixes, the shortest first; a part counts only behind all parts before it. Made once. */
-const chain = (p: Prompt): readonly Link[] => {
-  const old = made.get(p.parts);
-  if (old?.model === p.model) return old.links;
-  let key = p.model;
+const prefixesByParts = new WeakMap<Prompt['parts'], { model: string; links: readonly Prefix[] }>();
+/**
+ * The prefixes of a prompt, shortest first, computed once per prompt. A part is cacheable only after all parts before
+ * it, so a prefix key names the model and all parts up to its end.
+ */
+const prefixesOf = (prompt: Prompt): readonly Prefix[] => {
+  const cached = prefixesByParts.get(prompt.parts);
+  if (cached?.model === prompt.model) return cached.links;
+  let key = prompt.model;
   let tokens = 0;
-  const links = p.parts.map((part) => {
+  const prefixes = prompt.parts.map((part) => {
     key = `${key}/${part.id}`;
     tokens += part.tokens;
     return { key, tokens };
   });
-  made.set(p.parts, { model: p.model, links });
-  return links;
+  prefixesByParts.set(prompt.parts, { model: prompt.model, links: prefixes });
+  return prefixes;
 };
 
 /**
- * Which prefixes each server probably holds, by what was sent there. A guess: it orders choices and bars none.
- * Invariant: bounded for each server by the tokens that fit its memory and by a number of entries; the least lately
- * used goes first, as at the server.
+ * Estimates which prompt prefixes each server holds in its KV cache, from what was sent there. The estimate only orders
+ * choices and never excludes a server. Invariant: bounded per server by the tokens that fit its memory and by a number
+ * of entries; the least recently used prefix is dropped first, as at the server.
  */
 export const KeptParts = {
-  chain,
-  /** The prefix that requests share: all but the last part. */
-  home: (p: Prompt): string => chain(p).at(-2)?.key ?? p.model,
-  make(memory: () => number) {
-    const servers = new Map<string, Kept>();
+  prefixesOf: prefixesOf,
+  /** Key of the prefix that requests share: all parts but the last. */
+  sharedPrefixKey: (p: Prompt): string => prefixesOf(p).at(-2)?.key ?? p.model,
+  make(memoryTokens: () => number) {
+    const servers = new Map<string, ServerPrefixes>();
     return {
-      note(server: string, p: Prompt): void {
-        let kept = servers.get(server);
-        if (!kept) {
-          kept = { parts: new Map(), sum: 0, most: Math.max(1, memory()) };
-          servers.set(server, kept);
+      note(server: string, prompt: Prompt): void {
+        let prefixes = servers.get(server);
+        if (!prefixes) {
+          prefixes = { tokensByKey: new Map(), totalTokens: 0, capacityTokens: Math.max(1, memoryTokens()) };
+          servers.set(server, prefixes);
         }
-        let before = 0;
-        for (const c of chain(p)) {
-          put(kept, c.key, Math.max(1, c.tokens - before));
-          before = c.tokens;
+        let precedingTokens = 0;
+        for (const prefix of prefixesOf(prompt)) {
+          insert(prefixes, prefix.key, Math.max(1, prefix.tokens - precedingTokens));
+          precedingTokens = prefix.tokens;
         }
       },
       /** Tokens of the longest prefix that the server probably holds. */
-      held(server: string, p: Prompt): number {
-        const parts = servers.get(server)?.parts;
-        let best = 0;
-        for (const c of chain(p)) {
-          if (!parts?.has(c.key)) break;
-          best = c.tokens;
+      held(server: string, prompt: Prompt): number {
+        const tokensByKey = servers.get(server)?.tokensByKey;
+        let longest = 0;
+        for (const prefix of prefixesOf(prompt)) {
+          if (!tokensByKey?.has(prefix.key)) break;
+          longest = prefix.tokens;
         }
-        return best;
+        return longest;
       },
+      /** Drops the estimates of all servers but these. */
       only(ids: ReadonlySet<string>): void {
         for (const id of servers.keys()) if (!ids.has(id)) servers.delete(id);
       },
--- a/packages/router/src/listbody.ts
+++ b/packages/router/src/listbody.ts
@@ -1,6 +1,9 @@
 import { Type, type Static } from 'typebox';
 
-/** The body of the shared doc `list`: rows rather than objects, since it goes to every daemon at each change. */
+/**
+ * Body of the shared record `list`, the server inventory. Rows are tuples, since the list goes to every daemon at each
+ * change: id, index into `services`, address, index into `zones`, stage, draining, slots, warming up.
+ */
 export const ListBody = Type.Object(
   {
     rows: Type.Array(
--- a/packages/router/src/listrows.ts
+++ b/packages/router/src/listrows.ts
@@ -3,22 +3,24 @@
 import type { Server } from './server.js';
 
 const STAGES = ['prefill', 'decode', null] as const;
-const COLD = 1000;
+/** The shared list only says whether a server is warming up; this stands for the time left. */
+const ASSUMED_WARMUP_MS = 1000;
 
 /**
- * Between the list as it is held and as it is shared. Names are in their own order, so that the rows of servers that
- * did not change are the same in the next version, which is handed on by what it has beside the one before.
+ * Converts between the server list held in memory and the compact form that is shared. Names are sorted, so that rows
+ * of unchanged servers are identical in the next version and only the difference has to be sent.
  */
 export const ListRows = {
   pack(servers: readonly Server[]): ListBody {
-    const names = (of: (s: Server) => string) => {
-      const all = Indices.make();
-      for (const name of [...new Set(servers.map(of))].sort()) all.of(name);
-      return all;
+    const indexNames = (of: (s: Server) => string) => {
+      const indices = Indices.make();
+      for (const name of [...new Set(servers.map(of))].sort()) indices.of(name);
+      return indices;
     };
-    const services = names((s) => s.service),
-      zones = names((s) => s.zone);
-    const list = (all: typeof zones): string[] => Array.from({ length: all.size() }, (_, i) => all.name(i)!);
+    const services = indexNames((s) => s.service),
+      zones = indexNames((s) => s.zone);
+    const toList = (indices: typeof zones): string[] =>
+      Array.from({ length: indices.size() }, (_, i) => indices.name(i)!);
     const sorted = [...servers].sort((a, b) => (a.id < b.id ? -1 : 1));
     const rows = sorted.map((s): ListBody['rows'][number] => [
       s.id,
@@ -30,18 +32,18 @@
       s.slots,
       s.warm > 0 ? 1 : 0,
     ]);
-    return { rows, services: list(services), zones: list(zones) };
+    return { rows, services: toList(services), zones: toList(zones) };
   },
   open(body: ListBody): Server[] {
-    return body.rows.map(([id, service, addr, zone, stage, leaving, slots, cold]) => ({
+    return body.rows.map(([id, service, addr, zone, stage, draining, slots, warming]) => ({
       id,
       service: body.services[service] ?? '',
       addr,
       zone: body.zones[zone] ?? '',
       stage: STAGES[stage] ?? null,
-      state: leaving === 1 ? 'draining' : 'ready',
+      state: draining === 1 ? 'draining' : 'ready',
       slots,
-      warm: cold === 1 ? COLD : 0,
+      warm: warming === 1 ? ASSUMED_WARMUP_MS : 0,
     }));
   },
 };
--- a/packages/router/src/listwatch.test.ts
+++ b/packages/router/src/listwatch.test.ts
@@ -7,7 +7,7 @@
 
 const SERVERS = [server('a', 'decode'), server('b', 'prefill')];
 
-describe('a list asked of other routers', () => {
+describe('a server list fetched from other routers', () => {
   const make = () => {
     const time = testClock(),
       town = testTown();
@@ -49,23 +49,23 @@
     r2.list.take(SERVERS.slice(0, 1), time.clock.mono() - 300, 'shared');
     return { time, replies, r1, r2 };
   };
-  it('comes without rows where both hold the same one, and is as young as the other says', async () => {
+  it('is sent without rows if both routers hold the same one, and gets the age that the other reports', async () => {
     const { replies, r1 } = await both([7, 1], [7, 1]);
     await r1.watch.tick();
     expect(replies).to.deep.equal([{ rows: 0, mark: [7, 1] }]);
     expect([r1.list.age(), r1.list.all().length]).to.deep.equal([300, 2]);
   });
   for (const [name, mine, theirs] of [
-    ['another is held there', [7, 1], [7, 2]],
-    ['none is held here', null, [7, 1]],
-    ['it is known there by no mark', [7, 1], null],
+    ['the other router holds a different one', [7, 1], [7, 2]],
+    ['this router holds none', null, [7, 1]],
+    ['the other router has no version stamp for it', [7, 1], null],
   ] as const)
-    it(`comes whole where ${name}`, async () => {
+    it(`is sent whole if ${name}`, async () => {
       const { replies, r1 } = await both(mine ? [...mine] : null, theirs ? [...theirs] : null);
       await r1.watch.tick();
       expect([replies[0]?.rows, r1.list.age(), r1.list.all().length]).to.deep.equal([1, 300, 1]);
     });
-  it('comes whole where ours was asked of the platform, though a shared one is on the shelf', async () => {
+  it('is sent whole if ours came from the platform, although the record store holds a shared one', async () => {
     const { time, replies, r1, r2 } = await both([7, 1], [7, 1]);
     r1.list.take(SERVERS, time.clock.mono() - 1100, 'asked');
     await r1.watch.tick();
@@ -73,14 +73,14 @@
     r2.list.take(SERVERS, time.clock.mono(), 'asked');
     expect(r2.list.shared()).to.equal(false);
   });
-  it('is no younger for what is said of a list that was given up meanwhile', async () => {
+  it('gets no fresher by a reply about a list that was replaced meanwhile', async () => {
     const { r1 } = await both([7, 1], [7, 1]);
     const asked = r1.watch.tick();
     r1.state.mark = [7, 2];
     await asked;
     expect(r1.list.age()).to.equal(1200);
   });
-  it('is taken from nobody whose own is too old', async () => {
+  it('is not taken from a router whose own list is too old', async () => {
     const { time, replies, r1 } = await both([7, 1], [7, 1]);
     await time.pass(1800);
     await r1.watch.tick();
--- a/packages/router/src/listwatch.ts
+++ b/packages/router/src/listwatch.ts
@@ -5,82 +5,89 @@
 import type { ServerListing } from './serverlisting.js';
 import { Words } from './words.js';
 
-type Tools = {
+type Dependencies = {
   world: World;
   post: PostBox;
   list: ServerListing;
   source: ListSource;
   peers: () => readonly Ident[];
-  /** The mark of the shared list where that is the one held. */
+  /** Version stamp of the shared list if that is the one held, else null. */
   mark: () => Mark | null;
-  /** ms: an age at which the fallback begins, well under what bars sending. */
+  /** Age of the list in ms at which other sources are asked, well below the age that stops sending. */
   worry: () => number;
   daemons: () => number | null;
 };
-const LOOK = 150;
-/** ms after which it looks again although the list is young, as it may have been dropped meanwhile. */
-const CALM = 600;
-const ASK = 400;
-const PEERS = 2;
-const CROWD = 24;
+const MIN_CHECK_INTERVAL_MS = 150;
+/** Longest interval between checks while the list is fresh, since the list may be invalidated meanwhile. */
+const MAX_CHECK_INTERVAL_MS = 600;
+const REQUEST_TIMEOUT_MS = 400;
+const PEERS_ASKED = 2;
+/** Expected number of daemons, of a larger fleet, that ask the platform in one interval. */
+const MAX_PLATFORM_ASKERS = 24;
 
 /**
- * What a router does when no word of the list comes from the head: it asks two others, and failing that the platform.
- * Invariants: a list that both hold is named by its mark and not sent; an age travels with it and is counted from
- * before it was asked for; the more daemons there are, the fewer of them ask the platform at once.
+ * Refreshes a router's server list when the head does not: asks two other routers, and failing that the platform.
+ * Invariants: a list that both routers hold is identified by its version stamp and not sent; the age travels with the
+ * list and is counted from before it was asked for; the more daemons there are, the smaller the fraction of them that
+ * asks the platform at once.
  */
 export const ListWatch = {
-  make(t: Tools) {
-    const { clock, chance } = t.world;
-    const count = { asked: 0, shared: 0 };
+  make(deps: Dependencies) {
+    const { clock, chance } = deps.world;
+    const counts = { asked: 0, shared: 0 };
     let stop: () => void = () => undefined;
-    /** What was said of the list under this mark holds only while that is the one held. */
-    const same = (mark: Mark, at: number): boolean => {
-      if (Order.cmp(mark, t.mark()) !== 0 || at <= clock.mono() - t.list.age()) return false;
-      return t.list.confirm(at);
+    /** An age reported for a list applies only while the list with that version stamp is still the one held. */
+    const confirmSameList = (mark: Mark, askedAt: number): boolean => {
+      if (Order.cmp(mark, deps.mark()) !== 0 || askedAt <= clock.mono() - deps.list.age()) return false;
+      return deps.list.confirm(askedAt);
     };
-    const fromPeer = async (who: Ident): Promise<boolean> => {
-      const at = clock.mono(),
-        mark = t.mark();
-      const r = await t.post.ask(who.addr, who.id, 'router.list', { mark }, Words.list, ASK);
-      if (!r.ok) return false;
-      if (mark && Order.cmp(mark, r.val.mark) === 0) return same(mark, at - r.val.age);
-      if (r.val.servers === null || !Check.is(ListBody, r.val.servers)) return false;
-      if (at - r.val.age <= clock.mono() - t.list.age()) return false;
-      t.list.take(ListRows.open(r.val.servers as ListBody), at - r.val.age, 'asked');
+    const fromPeer = async (peer: Ident): Promise<boolean> => {
+      const askedAt = clock.mono(),
+        mark = deps.mark();
+      const reply = await deps.post.ask(peer.addr, peer.id, 'router.list', { mark }, Words.list, REQUEST_TIMEOUT_MS);
+      if (!reply.ok) return false;
+      if (mark && Order.cmp(mark, reply.val.mark) === 0) return confirmSameList(mark, askedAt - reply.val.age);
+      if (reply.val.servers === null || !Check.is(ListBody, reply.val.servers)) return false;
+      if (askedAt - reply.val.age <= clock.mono() - deps.list.age()) return false;
+      deps.list.take(ListRows.open(reply.val.servers as ListBody), askedAt - reply.val.age, 'asked');
       return true;
     };
     const fromPlatform = async (): Promise<void> => {
-      const at = clock.mono();
-      count.asked++;
-      const got = await t.source.poll();
-      if (got.ok) t.list.take(got.val, at, 'asked');
+      const askedAt = clock.mono();
+      counts.asked++;
+      const reply = await deps.source.poll();
+      if (reply.ok) deps.list.take(reply.val, askedAt, 'asked');
     };
     const tick = async (): Promise<void> => {
-      if (t.list.age() < t.worry()) return;
-      const some = Dice.some(chance, t.peers(), PEERS);
-      const got = await Promise.all(some.map(fromPeer));
-      if (got.some((g) => g)) count.shared++;
-      if (t.list.age() < t.worry()) return;
-      const many = t.daemons() ?? 1;
-      if (many <= CROWD || !t.list.young() || chance.real() < CROWD / many) await fromPlatform();
+      if (deps.list.age() < deps.worry()) return;
+      const selected = Dice.some(chance, deps.peers(), PEERS_ASKED);
+      const results = await Promise.all(selected.map(fromPeer));
+      if (results.some((g) => g)) counts.shared++;
+      if (deps.list.age() < deps.worry()) return;
+      const routerCount = deps.daemons() ?? 1;
+      if (routerCount <= MAX_PLATFORM_ASKERS || !deps.list.young() || chance.real() < MAX_PLATFORM_ASKERS / routerCount)
+        await fromPlatform();
     };
-    t.post.on('router.list', Words.ask, (body) => {
-      const young = t.list.young();
-      const known = young && body.mark ? Order.cmp(body.mark, t.mark()) === 0 : false;
+    deps.post.on('router.list', Words.ask, (body) => {
+      const isFresh = deps.list.young();
+      const sameList = isFresh && body.mark ? Order.cmp(body.mark, deps.mark()) === 0 : false;
       return {
-        mark: known ? t.mark() : null,
-        age: young ? t.list.age() : 0,
-        servers: young && !known ? ListRows.pack(t.list.seen()) : null,
+        mark: sameList ? deps.mark() : null,
+        age: isFresh ? deps.list.age() : 0,
+        servers: isFresh && !sameList ? ListRows.pack(deps.list.lastKnownServers()) : null,
       };
     });
     return {
       start(): void {
-        stop = Timer.paced(clock, () => Math.min(CALM, Math.max(LOOK, t.worry() - t.list.age())), tick);
+        stop = Timer.paced(
+          clock,
+          () => Math.min(MAX_CHECK_INTERVAL_MS, Math.max(MIN_CHECK_INTERVAL_MS, deps.worry() - deps.list.age())),
+          tick,
+        );
       },
       stop: (): void => stop(),
       tick,
-      count: () => ({ ...count }),
+      counts: () => ({ ...counts }),
     };
   },
 };
--- a/packages/router/src/loadbroker.test.ts
+++ b/packages/router/src/loadbroker.test.ts
@@ -13,37 +13,37 @@
 
 const RECENT = 15;
 
-describe('loads that a member of the core adds up', () => {
+describe('loads added up by a control replica', () => {
   const make = (routers: number, large = true) => {
     const time = testClock(),
       town = testTown();
     const members = ['k1', 'k2', 'k3'].map((id) => daemon(id, 'registry'));
     const view: View = { epoch: 1, voters: members, chain: members.map(({ id, born, addr }) => ({ id, born, addr })) };
-    const shelves = new Map<string, Holding>();
-    const shelf = (id: string): Holding => {
-      const made = shelves.get(id) ?? Shelf.make(SharedSound.doc);
-      shelves.set(id, made);
+    const stores = new Map<string, Holding>();
+    const storeOf = (id: string): Holding => {
+      const made = stores.get(id) ?? Shelf.make(SharedSound.doc);
+      stores.set(id, made);
       return made;
     };
-    const tables = members.map((who) => LoadTable.make(time.clock, town.post(who), shelf(who.id)));
+    const aggregators = members.map((who) => LoadTable.make(time.clock, town.post(who), storeOf(who.id)));
     const all = Array.from({ length: routers }, (_, i) => {
       const post = town.post(daemon(`r${i + 1}`));
       const loads = ServerLoads.make(time.clock.mono),
         counters = OutcomeCounters.make();
       const broker = LoadBroker.make({
         ...{ clock: time.clock, post, loads, view: () => view, large: () => large, counters },
-        shelf: shelf(`r${i + 1}`),
+        shelf: storeOf(`r${i + 1}`),
       });
       return { loads, broker, counters };
     });
-    /** Puts a list of these servers on the shelves of some daemons. */
-    const list = (step: number, servers: readonly string[], who: readonly string[]): void => {
+    /** Puts a list of these servers into the record stores of some daemons. */
+    const publishList = (step: number, servers: readonly string[], who: readonly string[]): void => {
       const body = ListRows.pack(servers.map((id) => server(id, 'prefill')));
-      for (const id of who) shelf(id).offer({ name: 'list', mark: [1, step], body });
+      for (const id of who) storeOf(id).offer({ name: 'list', mark: [1, step], body });
     };
-    return { time, town, members, tables, all, list };
+    return { time, town, members, tables: aggregators, all, list: publishList };
   };
-  it('are known to whoever asks, with what it began since it asked', async () => {
+  it('are known to the router that asks, plus what it began since it asked', async () => {
     const { time, all } = make(2);
     const [a, b] = [all[0]!, all[1]!];
     const end = a.loads.read('p1', 5000);
@@ -57,14 +57,14 @@
     await b.broker.refresh(RECENT);
     expect(b.loads.at('p1')).to.deep.equal({ runs: 0, reads: 1, tokens: 700 });
   });
-  it('are told before they are asked for, in the same turn', async () => {
+  it('are reported before the sums are asked for, in the same turn', async () => {
     const { all, tables } = make(1);
     all[0]!.loads.run('d1');
     await all[0]!.broker.refresh(RECENT);
-    expect(tables.map((t) => t.of('d1').runs).sort()).to.deep.equal([0, 0, 1]);
+    expect(tables.map((t) => t.loadOf('d1').runs).sort()).to.deep.equal([0, 0, 1]);
     expect(all[0]!.loads.at('d1').runs).to.equal(1);
   });
-  it('are asked of one member, and not again within the time given', async () => {
+  it('are asked of one replica, and not again within the given age', async () => {
     const { time, town, all } = make(3);
     for (const r of all) await r.broker.refresh(RECENT);
     const asked = town.asked.filter((x) => x.includes('loads.ask'));
@@ -75,7 +75,7 @@
     await all[0]!.broker.refresh(RECENT);
     expect(town.asked.filter((x) => x.includes('loads.ask')).length).to.equal(asked.length + 1);
   });
-  it('of a router that is gone are forgotten, and those of one that lives are not', async () => {
+  it('of a router that is gone are dropped, and those of a live one are not', async () => {
     const { time, all, tables } = make(2);
     all[0]!.loads.run('d1');
     all[1]!.loads.run('d2');
@@ -83,12 +83,12 @@
     await all[0]!.broker.refresh(RECENT);
     all[1]!.broker.start();
     await time.pass(2600);
-    for (const t of tables) t.tidy();
-    expect(tables.reduce((n, t) => n + t.of('d1').runs, 0)).to.equal(0);
-    expect(tables.reduce((n, t) => n + t.of('d2').runs, 0)).to.equal(1);
+    for (const t of tables) t.expire();
+    expect(tables.reduce((n, t) => n + t.loadOf('d1').runs, 0)).to.equal(0);
+    expect(tables.reduce((n, t) => n + t.loadOf('d2').runs, 0)).to.equal(1);
     all[1]!.broker.stop();
   });
-  it('are not asked for a while of a member that does not reply, and what was heard elsewhere counts', async () => {
+  it('are not asked for a while of a replica that does not reply, and gossiped loads count', async () => {
     const { time, town, members, all } = make(1);
     const { loads, broker, counters } = all[0]!;
     for (const m of members) town.down.add(m.addr);
@@ -105,7 +105,7 @@
     await broker.refresh(RECENT);
     expect(broker.works()).to.equal(true);
   });
-  it('are told by places in the list where both hold the same one, and by name elsewhere', async () => {
+  it('refer to servers by place if both hold the same list, and by name otherwise', async () => {
     const { time, all, list } = make(2);
     const daemons = ['k1', 'k2', 'k3', 'r1'];
     const known = async (): Promise<number[]> => {
@@ -117,13 +117,13 @@
     all[1]!.loads.read('p2', 800);
     list(1, ['p0', 'p1'], daemons);
     expect(await known()).to.deep.equal([300, 0, 800]);
-    // The member has a later list, in which places differ, than the router that asks.
+    // The aggregator holds a newer list than the router that asks, with different places.
     list(2, ['p1', 'p2'], ['k1', 'k2', 'k3']);
     expect(await known()).to.deep.equal([300, 0, 800]);
     list(2, ['p1', 'p2'], ['r1']);
     expect(await known()).to.deep.equal([300, 0, 800]);
   });
-  it('count for a short while only', async () => {
+  it('expire after a short while', async () => {
     const { time, all } = make(2);
     all[0]!.loads.read('p1', 5000);
     await all[0]!.broker.refresh(RECENT);
@@ -131,14 +131,14 @@
     await time.pass(500);
     expect(all[1]!.loads.at('p1').tokens).to.equal(0);
   });
-  it('are neither told nor asked for in a small fleet', async () => {
+  it('are neither reported nor asked for in a small fleet', async () => {
     const { time, town, all } = make(2, false);
     all[0]!.loads.read('p1', 5000);
     await time.pass(10);
     await all[0]!.broker.refresh(RECENT);
     expect(town.asked.filter((x) => x.includes('loads.'))).to.deep.equal([]);
   });
-  it('are the sum of what every router has under way, whatever begins and ends (200 seeds)', async () => {
+  it('equal the sum of what every router has under way, whatever begins and ends (200 seeds)', async () => {
     for (let seed = 1; seed <= 200; seed++) {
       const chance = Dice.seeded(seed);
       const { time, all } = make(4);
--- a/packages/router/src/loadbroker.ts
+++ b/packages/router/src/loadbroker.ts
@@ -6,105 +6,119 @@
 import type { ServerLoads } from './serverloads.js';
 import { Words } from './words.js';
 
-type Tools = {
+type Dependencies = {
   clock: Clock;
   post: PostBox;
   loads: ReturnType<typeof ServerLoads.make>;
   view: () => View | null;
   shelf: Holding;
-  /** Whether the fleet is so large that a router hears of a part of the others only. */
+  /** Whether the fleet is so large that a router receives load gossip from a part of the others only. */
   large: () => boolean;
   counters: Pick<ReturnType<typeof OutcomeCounters.make>, 'count'>;
 };
+/** Runs in progress, prompts waiting to be read, and their tokens. */
 type Load = { runs: number; reads: number; tokens: number };
+/** Server id, runs, reads, token units. */
 type WireRow = [string, number, number, number];
-/** ms that the reply may take, and for which nothing is asked after one that did not come. */
-const REPLY_TIMEOUT = 40;
-const BACKOFF = 1000;
-/** ms after which all rows are told again although none changed. */
-const REFRESH = 700;
-/** Tokens of a unit on the wire. */
-const UNIT = 100;
-/** Numbers that tell of one server by its place. */
-const FIELDS = 4;
-const KEY = 'loads';
+/** How long the reply may take, and how long nothing is asked after a reply that did not come. */
+const REPLY_TIMEOUT_MS = 40;
+const BACKOFF_MS = 1000;
+/** Interval after which all rows are sent again even if none changed. */
+const FULL_REPORT_INTERVAL_MS = 700;
+/** Tokens per unit on the wire. */
+const TOKENS_PER_UNIT = 100;
+/** Numbers that describe one server in `places`: its place in the list, runs, reads and token units. */
+const FIELDS_PER_SERVER = 4;
+const RENDEZVOUS_KEY = 'loads';
 
 /**
- * A router's line to the member of the core that adds up the loads of all servers: the same one for all routers, by
- * rendezvous over the view. Invariants: what changed here is told before anything is asked; a member that does not
- * reply in time costs one short wait, and is left alone for a while; nothing depends on the reply but the choice.
+ * A router's client of the load aggregator, the control replica that adds up the loads of all servers. All routers use
+ * the same replica, chosen by rendezvous hashing over the view. Invariants: changes of this router are sent before it
+ * asks for the sums; a replica that does not reply in time costs one short wait and is then left alone for a while;
+ * only the choice of servers depends on the reply.
  */
 export const LoadBroker = {
-  make(t: Tools) {
-    const index = ServerIndex.make(t.shelf);
+  make(deps: Dependencies) {
+    const listIndex = ServerIndex.make(deps.shelf);
     const changed = new Set<string>();
-    let member = '';
-    let toldAt = -Infinity;
+    let reportedTo = '';
+    let fullReportAt = -Infinity;
     let askedAt = -Infinity;
-    let silentUntil = -Infinity;
-    let waiting = false;
+    let backoffUntil = -Infinity;
+    let reportScheduled = false;
     let stop: () => void = () => undefined;
-    const broker = () => {
-      const view = t.view();
-      return view && t.large() ? Lot.first(KEY, view.chain, (m) => m.id) : undefined;
+    const selectAggregator = () => {
+      const view = deps.view();
+      return view && deps.large() ? Lot.first(RENDEZVOUS_KEY, view.chain, (m) => m.id) : undefined;
     };
-    const row = (server: string): WireRow => {
-      const own = t.loads.mine().get(server);
-      return [server, own?.runs ?? 0, own?.reads ?? 0, Math.round((own?.tokens ?? 0) / UNIT)];
+    const ownRow = (server: string): WireRow => {
+      const own = deps.loads.mine().get(server);
+      return [server, own?.runs ?? 0, own?.reads ?? 0, Math.round((own?.tokens ?? 0) / TOKENS_PER_UNIT)];
     };
-    const flush = (): void => {
-      waiting = false;
-      const to = broker();
-      if (!to) {
+    const reportOwnLoads = (): void => {
+      reportScheduled = false;
+      const aggregator = selectAggregator();
+      if (!aggregator) {
         changed.clear();
         return;
       }
-      const whole = to.id !== member || t.clock.mono() - toldAt > REFRESH;
+      const whole = aggregator.id !== reportedTo || deps.clock.mono() - fullReportAt > FULL_REPORT_INTERVAL_MS;
       if (!whole && changed.size === 0) return;
-      const names = whole ? t.loads.mine().keys() : changed;
-      const rows = [...names].map(row);
+      const servers = whole ? deps.loads.mine().keys() : changed;
+      const rows = [...servers].map(ownRow);
       changed.clear();
-      member = to.id;
-      if (whole) toldAt = t.clock.mono();
-      t.post.tell(to.addr, to.id, 'loads.own', { whole, rows });
+      reportedTo = aggregator.id;
+      if (whole) fullReportAt = deps.clock.mono();
+      deps.post.tell(aggregator.addr, aggregator.id, 'loads.own', { whole, rows });
     };
-    t.loads.heed((server) => {
+    deps.loads.subscribe((server) => {
       changed.add(server);
-      if (waiting) return;
-      waiting = true;
-      t.clock.after(0, flush);
+      if (reportScheduled) return;
+      reportScheduled = true;
+      deps.clock.after(0, reportOwnLoads);
     });
     return {
-      /** Whether choices rest on what the member tells. */
-      works: (): boolean => t.clock.mono() - askedAt < BACKOFF && t.clock.mono() >= silentUntil,
-      /** Learns what all have under way, unless that was learnt at most `recent` ms ago or can't be. */
-      async refresh(recent: number): Promise<void> {
-        const now = t.clock.mono();
-        if (now - askedAt < recent || now < silentUntil) return;
-        const to = broker();
-        if (!to) return;
-        flush();
-        const own = t.loads.snapshot();
-        const held = index.now();
-        const question = { list: held?.mark ?? null };
-        const got = await t.post.ask(to.addr, to.id, 'loads.ask', question, Words.allLoads, REPLY_TIMEOUT);
-        t.counters.count('load_queries', got.ok ? 'ok' : got.val);
-        if (!got.ok) {
-          silentUntil = t.clock.mono() + BACKOFF;
+      /** Whether server choices are currently based on the aggregator's replies. */
+      works: (): boolean => deps.clock.mono() - askedAt < BACKOFF_MS && deps.clock.mono() >= backoffUntil,
+      /**
+       * Fetches the loads of all routers, unless they were fetched at most `maxAgeMs` ago or the aggregator cannot be
+       * asked now.
+       */
+      async refresh(maxAgeMs: number): Promise<void> {
+        const now = deps.clock.mono();
+        if (now - askedAt < maxAgeMs || now < backoffUntil) return;
+        const aggregator = selectAggregator();
+        if (!aggregator) return;
+        reportOwnLoads();
+        const ownBefore = deps.loads.snapshot();
+        const heldList = listIndex.current();
+        const question = { list: heldList?.mark ?? null };
+        const reply = await deps.post.ask(
+          aggregator.addr,
+          aggregator.id,
+          'loads.ask',
+          question,
+          Words.allLoads,
+          REPLY_TIMEOUT_MS,
+        );
+        deps.counters.count('load_queries', reply.ok ? 'ok' : reply.val);
+        if (!reply.ok) {
+          backoffUntil = deps.clock.mono() + BACKOFF_MS;
           return;
         }
         askedAt = now;
-        const all = new Map<string, Load>();
-        const put = (id: string | undefined, runs = 0, reads = 0, units = 0): void => {
-          if (id !== undefined) all.set(id, { runs, reads, tokens: units * UNIT });
+        const fleetLoads = new Map<string, Load>();
+        const addLoad = (id: string | undefined, runs = 0, reads = 0, units = 0): void => {
+          if (id !== undefined) fleetLoads.set(id, { runs, reads, tokens: units * TOKENS_PER_UNIT });
         };
-        const { places, rows } = got.val;
-        for (let i = 0; i < places.length; i += FIELDS) put(held?.ids[places[i]!], ...places.slice(i + 1, i + FIELDS));
-        for (const [id, ...load] of rows) put(id, ...load);
-        t.loads.exact(all, own, t.clock.mono());
+        const { places, rows } = reply.val;
+        for (let i = 0; i < places.length; i += FIELDS_PER_SERVER)
+          addLoad(heldList?.ids[places[i]!], ...places.slice(i + 1, i + FIELDS_PER_SERVER));
+        for (const [id, ...load] of rows) addLoad(id, ...load);
+        deps.loads.setFleetLoads(fleetLoads, ownBefore, deps.clock.mono());
       },
       start(): void {
-        stop = Timer.every(t.clock, REFRESH, flush);
+        stop = Timer.every(deps.clock, FULL_REPORT_INTERVAL_MS, reportOwnLoads);
       },
       stop: (): void => stop(),
     };
--- a/packages/router/src/loadnews.test.ts
+++ b/packages/router/src/loadnews.test.ts
@@ -4,7 +4,7 @@
 import { ServerLoads } from './serverloads.js';
 import { testClock } from './stand.test.js';
 
-describe('news of loads', () => {
+describe('load gossip', () => {
   const make = (routers: number) => {
     const time = testClock(),
       town = testTown();
@@ -19,7 +19,7 @@
     });
     return { time, town, all };
   };
-  it('is told when something changed, and counts for others', async () => {
+  it('is sent when something changed, and counts at the receivers', async () => {
     const { time, town, all } = make(3);
     const end = all[0]!.loads.read('p1', 5000);
     for (const a of all) a.news.tick();
@@ -34,16 +34,16 @@
     await time.pass(1);
     expect(all[1]!.loads.at('p1').tokens).to.equal(0);
   });
-  it('of a large fleet, what was heard stands for more than itself', async () => {
+  it('extrapolates what was received to a large fleet', async () => {
     const { time, all } = make(19);
     all[0]!.loads.read('p1', 1000);
     all[1]!.loads.read('p1', 3000);
     for (const a of all) a.news.tick();
     await time.pass(1);
-    // Two of the eighteen others were heard, with 4,000 between them: three times that, the root of nine.
+    // Two of the eighteen other routers were heard, with 4,000 tokens in all: scaled by three, the square root of nine.
     expect(all[2]!.loads.at('p1').tokens).to.equal(12_000);
   });
-  it('is told less often the larger the fleet', async () => {
+  it('is sent less often the larger the fleet', async () => {
     const sent = [10, 100].map(async (routers) => {
       const { time, town, all } = make(routers);
       for (let ms = 0; ms < 4000; ms += 40) {
@@ -57,7 +57,7 @@
     expect(small).to.be.greaterThan(190);
     expect(large).to.be.lessThan(12);
   });
-  it('counts no longer than it is kept', async () => {
+  it('expires after its retention time', async () => {
     const { time, all } = make(3);
     all[0]!.loads.run('d1');
     all[0]!.news.tick();
--- a/packages/router/src/loadnews.ts
+++ b/packages/router/src/loadnews.ts
@@ -2,90 +2,102 @@
 import type { ServerLoads } from './serverloads.js';
 import { Words } from './words.js';
 
-type Row = { runs: number; reads: number; tokens: number };
-type Tools = {
+type ServerLoad = { runs: number; reads: number; tokens: number };
+type Dependencies = {
   clock: Clock;
   post: PostBox;
   loads: ReturnType<typeof ServerLoads.make>;
-  /** Whom this daemon tells: all other routers of a small fleet, a few of a large one. */
+  /** Routers to which this daemon sends its loads: all others in a small fleet, a few in a large one. */
   peers: () => readonly Ident[];
   routers: () => number | null;
 };
-const LOOK = 40;
-const AGAIN = 600;
-/** News is told as often as that in a fleet of so many; in a larger one less often, but never later than LATEST. */
-const SMALL = 10;
-/** Beyond so many, of whom each hears a part alone, it is told less often still: it buys little there. */
-const SEEN = 16;
-const SPARING = 4;
-const LATEST = 1000;
-const KEEP = 1500;
-const MOST = 64;
+const BASE_INTERVAL_MS = 40;
+const REPEAT_INTERVAL_MS = 600;
+/**
+ * Loads are sent every BASE_INTERVAL_MS in a fleet of at most this size, and less often in a larger one, but never
+ * later than MAX_INTERVAL_MS.
+ */
+const SMALL_FLEET_ROUTERS = 10;
+/**
+ * Above this size each router hears from only a part of the others, and loads are sent less often still, since frequent
+ * updates gain little there.
+ */
+const FULL_MESH_MAX_ROUTERS = 16;
+const LARGE_FLEET_DIVISOR = 4;
+const MAX_INTERVAL_MS = 1000;
+const RETENTION_MS = 1500;
+const MAX_PEERS_KEPT = 64;
 
 /**
- * Routers tell each other what they have under way at servers, so that they don't all choose the one that each of them
- * finds idle. Invariants: news goes to a bounded number of peers, however many there are, and only when something
- * changed; what was heard counts for no longer than KEEP; of a large fleet the part that was heard stands for all.
+ * Load gossip between routers: each tells others what it has under way at servers, so that they do not all choose the
+ * server that each of them believes idle. Invariants: updates go to a bounded number of peers, whatever the fleet size,
+ * and only when something changed or REPEAT_INTERVAL_MS has passed; what was received counts for at most RETENTION_MS;
+ * in a large fleet the part that was heard stands for all.
  */
 export const LoadNews = {
-  SEEN,
-  make(t: Tools) {
-    const heard = Fading.make<ReadonlyMap<string, Row>>(t.clock.mono, MOST);
-    let told = '';
-    let at = -Infinity;
+  SEEN: FULL_MESH_MAX_ROUTERS,
+  make(deps: Dependencies) {
+    const received = Fading.make<ReadonlyMap<string, ServerLoad>>(deps.clock.mono, MAX_PEERS_KEPT);
+    let lastSentText = '';
+    let lastSentAt = -Infinity;
     let stop: () => void = () => undefined;
-    const count = { sent: 0, heard: 0 };
-    const sum = (): ReadonlyMap<string, Row> => {
-      const all = heard.all();
-      const others = Math.max(0, (t.routers() ?? all.length + 1) - 1);
-      // What few tell says little of the many: the root keeps one busy peer from looking like a busy fleet.
-      const scale = all.length > 0 ? Math.sqrt(Math.max(1, others / all.length)) : 1;
-      const next = new Map<string, Row>();
-      for (const rows of all)
+    const counts = { sent: 0, heard: 0 };
+    const estimateOtherLoads = (): ReadonlyMap<string, ServerLoad> => {
+      const reports = received.all();
+      const others = Math.max(0, (deps.routers() ?? reports.length + 1) - 1);
+      // A small sample says little about the whole fleet. Scaling by the square root keeps one busy peer from making
+      // the fleet look busy.
+      const scale = reports.length > 0 ? Math.sqrt(Math.max(1, others / reports.length)) : 1;
+      const totals = new Map<string, ServerLoad>();
+      for (const rows of reports)
         for (const [id, r] of rows) {
-          const old = next.get(id) ?? { runs: 0, reads: 0, tokens: 0 };
-          next.set(id, {
-            runs: old.runs + r.runs * scale,
-            reads: old.reads + r.reads * scale,
-            tokens: old.tokens + r.tokens * scale,
+          const soFar = totals.get(id) ?? { runs: 0, reads: 0, tokens: 0 };
+          totals.set(id, {
+            runs: soFar.runs + r.runs * scale,
+            reads: soFar.reads + r.reads * scale,
+            tokens: soFar.tokens + r.tokens * scale,
           });
         }
-      return next;
+      return totals;
     };
-    t.post.heed('router.loads', Words.loads, (body, from) => {
-      count.heard++;
-      heard.set(
+    deps.post.heed('router.loads', Words.loads, (body, from) => {
+      counts.heard++;
+      received.set(
         from.id,
         new Map(body.rows.map(([id, runs, reads, tokens]) => [id, { runs, reads, tokens: tokens * 100 }])),
-        KEEP,
+        RETENTION_MS,
       );
-      t.loads.heard(sum);
+      deps.loads.heard(estimateOtherLoads);
     });
-    const pace = (): number => {
-      const routers = t.routers() ?? 1;
-      return Math.min(LATEST, LOOK * Math.max(1, routers / (routers > SEEN ? SPARING : SMALL)));
+    const intervalMs = (): number => {
+      const routers = deps.routers() ?? 1;
+      return Math.min(
+        MAX_INTERVAL_MS,
+        BASE_INTERVAL_MS *
+          Math.max(1, routers / (routers > FULL_MESH_MAX_ROUTERS ? LARGE_FLEET_DIVISOR : SMALL_FLEET_ROUTERS)),
+      );
     };
     const tick = (): void => {
-      t.loads.heard(sum);
-      const rows = [...t.loads.mine()].map(([id, r]) => [id, r.runs, r.reads, Math.round(r.tokens / 100)]);
+      deps.loads.heard(estimateOtherLoads);
+      const rows = [...deps.loads.mine()].map(([id, r]) => [id, r.runs, r.reads, Math.round(r.tokens / 100)]);
       const text = JSON.stringify(rows);
-      const now = t.clock.mono();
-      if (now - at < pace()) return;
-      if (text === told && (rows.length === 0 || now - at < AGAIN)) return;
-      told = text;
-      at = now;
-      for (const p of t.peers()) {
-        count.sent++;
-        t.post.tell(p.addr, p.id, 'router.loads', { rows });
+      const now = deps.clock.mono();
+      if (now - lastSentAt < intervalMs()) return;
+      if (text === lastSentText && (rows.length === 0 || now - lastSentAt < REPEAT_INTERVAL_MS)) return;
+      lastSentText = text;
+      lastSentAt = now;
+      for (const peer of deps.peers()) {
+        counts.sent++;
+        deps.post.tell(peer.addr, peer.id, 'router.loads', { rows });
       }
     };
     return {
       start(): void {
-        stop = Timer.paced(t.clock, pace, tick);
+        stop = Timer.paced(deps.clock, intervalMs, tick);
       },
       stop: (): void => stop(),
       tick,
-      count: () => ({ ...count }),
+      counts: () => ({ ...counts }),
     };
   },
 };
--- a/packages/router/src/loadshedder.test.ts
+++ b/packages/router/src/loadshedder.test.ts
@@ -3,8 +3,8 @@
 import { LoadShedder } from './loadshedder.js';
 import { testClock } from './stand.test.js';
 
-/** Requests arrive each 10 ms for a time and find a given wait; gives the part of them that was turned away. */
-const arrivals = async (
+/** Requests arrive every 10 ms for `ms` and find a given wait; returns the fraction of them that was rejected. */
+const rejectedFraction = async (
   time: ReturnType<typeof testClock>,
   shedder: ReturnType<typeof LoadShedder.make>,
   ms: number,
@@ -23,28 +23,28 @@
 };
 
 describe('load shedding', () => {
-  it('turns none away while little waits, however long', async () => {
+  it('rejects nothing while the queue is short, however long that lasts', async () => {
     const { time, shedder } = make(1);
-    expect(await arrivals(time, shedder, 20_000, 190)).to.equal(0);
+    expect(await rejectedFraction(time, shedder, 20_000, 190)).to.equal(0);
     expect(shedder.active()).to.equal(false);
   });
-  it('hardly turns any away in a short crowd', async () => {
+  it('hardly rejects anything in a short burst', async () => {
     for (const seed of [1, 2, 3, 4, 5]) {
       const { time, shedder } = make(seed);
-      expect(await arrivals(time, shedder, 400, 900), `seed ${seed}`).to.be.lessThan(0.2);
+      expect(await rejectedFraction(time, shedder, 400, 900), `seed ${seed}`).to.be.lessThan(0.2);
     }
   });
-  it('turns most away where much waits for seconds, never all, and none once that is over', async () => {
+  it('rejects most, but never all, while the queue is long for seconds, and hardly any afterwards', async () => {
     for (const seed of [1, 2, 3, 4, 5]) {
       const { time, shedder } = make(seed);
-      await arrivals(time, shedder, 5000, 2000);
-      const part = await arrivals(time, shedder, 5000, 2000);
+      await rejectedFraction(time, shedder, 5000, 2000);
+      const part = await rejectedFraction(time, shedder, 5000, 2000);
       expect(part, `seed ${seed}`).to.be.within(0.8, 0.99);
-      await arrivals(time, shedder, 6000, 0);
-      expect(await arrivals(time, shedder, 2000, 300), `seed ${seed}, later`).to.be.lessThan(0.05);
+      await rejectedFraction(time, shedder, 6000, 0);
+      expect(await rejectedFraction(time, shedder, 2000, 300), `seed ${seed}, later`).to.be.lessThan(0.05);
     }
   });
-  it('holds the queue of a server that is given far more than it can do, and keeps it busy', async () => {
+  it('bounds the queue of an overloaded server, and keeps it busy', async () => {
     for (const seed of [1, 2, 3])
       for (const load of [1.3, 2, 4]) {
         const { time, shedder } = make(seed);
--- a/packages/router/src/loadshedder.ts
+++ b/packages/router/src/loadshedder.ts
@@ -1,48 +1,56 @@
 import type { Chance, Clock } from '@pumicebarrow/forms';
 
-/** ms between two updates of the probability. */
-const UPDATE = 100;
-/** ms of waiting that are held: enough to keep servers busy, little enough for what is admitted to make its aim. */
-const TARGET = 400;
-/** What an update adds for each ms by which the wait is above the target, and by which it has grown. */
-const GAIN = 0.00002;
-const TREND = 0.0001;
-/** Not all are turned away: some have to be admitted to see that the queue is shorter. */
-const MOST = 0.95;
-/** What is left of the probability after an update at which hardly anything waited. */
-const FADE = 0.9;
+/** Interval between updates of the probability. */
+const UPDATE_INTERVAL_MS = 100;
+/**
+ * Queueing delay that is aimed at: enough to keep servers busy, and short enough for admitted requests to meet their
+ * latency target.
+ */
+const TARGET_WAIT_MS = 400;
+/**
+ * Added to the probability per update, for each ms by which the wait exceeds the target, and for each ms by which it
+ * has grown.
+ */
+const EXCESS_GAIN_PER_MS = 0.00002;
+const TREND_GAIN_PER_MS = 0.0001;
+/** Some requests are always admitted, or it could not be seen that the queue has become shorter. */
+const MAX_PROBABILITY = 0.95;
+/** Factor applied to the probability per update while hardly anything waits. */
+const IDLE_DECAY_FACTOR = 0.9;
 
 /**
- * Random early rejection with a proportional integral controller, as PIE (RFC 8033) does it for packets: while requests
- * wait longer than a target, a growing part of them is turned away on arrival, whatever their kind and size; so queues
- * stay short, and what is admitted is served in time. Invariants: a short crowd hardly raises the probability; none is
- * turned away while hardly anything waits.
+ * Random early rejection with a proportional-integral controller, as PIE (RFC 8033) does for packets: while requests
+ * wait longer than a target, a growing fraction of them is rejected on arrival, whatever their kind and size. Queues
+ * stay short, and admitted requests are served in time. Invariants: a short burst hardly raises the probability;
+ * nothing is rejected while hardly anything waits.
  */
 export const LoadShedder = {
   make(clock: Clock, chance: Chance) {
     let probability = 0;
-    /** The shortest wait seen since the last update, and in the one before. */
-    let least = Infinity;
-    let before = 0;
-    let at = clock.mono();
+    /** The shortest wait seen since the last update, and the shortest one of the interval before. */
+    let minWaitMs = Infinity;
+    let previousMinWaitMs = 0;
+    let updatedAt = clock.mono();
     const update = (): void => {
-      const updates = (clock.mono() - at) / UPDATE;
-      if (updates < 1) return;
-      at = clock.mono();
-      if (least < TARGET / 2) probability *= FADE ** updates;
-      const change = GAIN * (least - TARGET) * updates + TREND * (least - before);
-      probability = Math.max(0, Math.min(MOST, probability + change));
-      before = least;
-      least = Infinity;
+      const elapsedIntervals = (clock.mono() - updatedAt) / UPDATE_INTERVAL_MS;
+      if (elapsedIntervals < 1) return;
+      updatedAt = clock.mono();
+      if (minWaitMs < TARGET_WAIT_MS / 2) probability *= IDLE_DECAY_FACTOR ** elapsedIntervals;
+      const change =
+        EXCESS_GAIN_PER_MS * (minWaitMs - TARGET_WAIT_MS) * elapsedIntervals +
+        TREND_GAIN_PER_MS * (minWaitMs - previousMinWaitMs);
+      probability = Math.max(0, Math.min(MAX_PROBABILITY, probability + change));
+      previousMinWaitMs = minWaitMs;
+      minWaitMs = Infinity;
     };
     return {
-      /** Whether a request is turned away, for which this many ms of work wait. */
-      sheds(waits: number): boolean {
-        least = Math.min(least, waits);
+      /** Whether to reject a request that has `waitMs` of work queued ahead of it. */
+      sheds(waitMs: number): boolean {
+        minWaitMs = Math.min(minWaitMs, waitMs);
         update();
-        return waits > TARGET / 2 && chance.real() < probability;
+        return waitMs > TARGET_WAIT_MS / 2 && chance.real() < probability;
       },
-      /** Whether requests are being turned away, now and then at least. */
+      /** Whether some requests are being rejected. */
       active: (): boolean => probability > 0,
     };
   },
--- a/packages/router/src/loadtable.ts
+++ b/packages/router/src/loadtable.ts
@@ -5,73 +5,74 @@
 
 type Load = { runs: number; reads: number; tokens: number };
 type WireRow = [string, number, number, number];
-type Router = { rows: Map<string, Load>; heardAt: number };
-/** ms after which a router that says nothing counts as gone; one with work under way says so more often. */
-const SILENT = 2000;
-const TIDY = 500;
-const NONE: Load = { runs: 0, reads: 0, tokens: 0 };
+type RouterLoads = { rows: Map<string, Load>; receivedAt: number };
+/** A router that has sent nothing for this long is considered gone; a router with work under way sends more often. */
+const ROUTER_TIMEOUT_MS = 2000;
+const EXPIRY_INTERVAL_MS = 500;
+const NO_LOAD: Load = { runs: 0, reads: 0, tokens: 0 };
 
 /**
- * Adds up what every router has under way at each server, and tells it to whoever is about to choose one.
- * Invariants: each router's rows are absolute, so a lost or repeated word is put right by the next; the sums are those
- * of the rows held; all of it is soft, and is learnt anew within a second by the member that takes over.
+ * Adds up what every router has under way at each server, and gives the sums to routers about to choose a server. Runs
+ * at the control replicas. Invariants: each router reports absolute values, so a lost or repeated message is corrected
+ * by the next one; the sums always equal those of the rows held; all of it is soft state, which a replica that takes
+ * over relearns within a second.
  */
 export const LoadTable = {
-  make(clock: Clock, post: PostBox, shelf: Holding) {
-    const index = ServerIndex.make(shelf);
-    const routers = new Map<string, Router>();
+  make(clock: Clock, post: PostBox, store: Holding) {
+    const listIndex = ServerIndex.make(store);
+    const routers = new Map<string, RouterLoads>();
     const sums = new Map<string, Load>();
-    const change = (server: string, was: Load, now: Load): void => {
-      const sum = sums.get(server) ?? NONE;
-      const next = {
-        runs: sum.runs + now.runs - was.runs,
-        reads: sum.reads + now.reads - was.reads,
-        tokens: sum.tokens + now.tokens - was.tokens,
+    const applyChange = (server: string, previous: Load, current: Load): void => {
+      const sum = sums.get(server) ?? NO_LOAD;
+      const updated = {
+        runs: sum.runs + current.runs - previous.runs,
+        reads: sum.reads + current.reads - previous.reads,
+        tokens: sum.tokens + current.tokens - previous.tokens,
       };
-      if (next.runs === 0 && next.reads === 0 && next.tokens === 0) sums.delete(server);
-      else sums.set(server, next);
+      if (updated.runs === 0 && updated.reads === 0 && updated.tokens === 0) sums.delete(server);
+      else sums.set(server, updated);
     };
-    const set = (router: Router, server: string, now: Load): void => {
-      change(server, router.rows.get(server) ?? NONE, now);
-      if (now.runs === 0 && now.reads === 0) router.rows.delete(server);
-      else router.rows.set(server, now);
+    const setLoad = (router: RouterLoads, server: string, load: Load): void => {
+      applyChange(server, router.rows.get(server) ?? NO_LOAD, load);
+      if (load.runs === 0 && load.reads === 0) router.rows.delete(server);
+      else router.rows.set(server, load);
     };
-    const forget = (id: string, router: Router): void => {
-      for (const server of [...router.rows.keys()]) set(router, server, NONE);
+    const forget = (id: string, router: RouterLoads): void => {
+      for (const server of [...router.rows.keys()]) setLoad(router, server, NO_LOAD);
       routers.delete(id);
     };
-    const tidy = (): void => {
-      const oldest = clock.mono() - SILENT;
-      for (const [id, router] of routers) if (router.heardAt < oldest) forget(id, router);
+    const expireSilentRouters = (): void => {
+      const oldest = clock.mono() - ROUTER_TIMEOUT_MS;
+      for (const [id, router] of routers) if (router.receivedAt < oldest) forget(id, router);
     };
     post.heed('loads.own', Words.ownLoads, ({ whole, rows }, from) => {
-      const router = routers.get(from.id) ?? { rows: new Map<string, Load>(), heardAt: 0 };
-      router.heardAt = clock.mono();
+      const router = routers.get(from.id) ?? { rows: new Map<string, Load>(), receivedAt: 0 };
+      router.receivedAt = clock.mono();
       routers.set(from.id, router);
       const named = new Set(rows.map(([server]) => server));
-      if (whole) for (const server of [...router.rows.keys()]) if (!named.has(server)) set(router, server, NONE);
-      for (const [server, runs, reads, tokens] of rows) set(router, server, { runs, reads, tokens });
+      if (whole) for (const server of [...router.rows.keys()]) if (!named.has(server)) setLoad(router, server, NO_LOAD);
+      for (const [server, runs, reads, tokens] of rows) setLoad(router, server, { runs, reads, tokens });
     });
     post.on('loads.ask', Words.askLoads, ({ list }) => {
-      const held = index.now();
-      const known = held && list && Order.cmp(held.mark, list) === 0 ? held.places : null;
+      const held = listIndex.current();
+      const knownPlaces = held && list && Order.cmp(held.mark, list) === 0 ? held.places : null;
       const places: number[] = [];
       const rows: WireRow[] = [];
-      for (const [server, s] of sums) {
-        const place = known?.get(server);
-        if (place === undefined) rows.push([server, s.runs, s.reads, s.tokens]);
-        else places.push(place, s.runs, s.reads, s.tokens);
+      for (const [server, sum] of sums) {
+        const place = knownPlaces?.get(server);
+        if (place === undefined) rows.push([server, sum.runs, sum.reads, sum.tokens]);
+        else places.push(place, sum.runs, sum.reads, sum.tokens);
       }
       return { places, rows };
     });
     let stop: () => void = () => undefined;
     return {
       start(): void {
-        stop = Timer.every(clock, TIDY, tidy);
+        stop = Timer.every(clock, EXPIRY_INTERVAL_MS, expireSilentRouters);
       },
       stop: (): void => stop(),
-      tidy,
-      of: (server: string): Load => sums.get(server) ?? NONE,
+      expire: expireSilentRouters,
+      loadOf: (server: string): Load => sums.get(server) ?? NO_LOAD,
     };
   },
 };
--- a/packages/router/src/nearest.ts
+++ b/packages/router/src/nearest.ts
@@ -1,71 +1,76 @@
 import { Lot } from '@pumicebarrow/forms';
 
-/** `upto` is the place in the order of coming up to which all were weighed. */
-type Kept = { ids: readonly string[]; upto: number };
-type Few = { ids: readonly string[]; whole: boolean };
-type Tools = { mono: () => number; many: number };
-/** Names weighed in a ms at most over time, in one go, and by one asking at least. */
-const PACE = 250;
-const BURST = 200_000;
-const LEAST = 8;
-const SPARE = 64;
+/** `examinedUpTo` is the index in `arrivals` up to which all names have been ranked. */
+type Selection = { ids: readonly string[]; examinedUpTo: number };
+type Peers = { ids: readonly string[]; whole: boolean };
+type Dependencies = { mono: () => number; many: number };
+/** Names ranked per ms on average, at most in one burst, and at least per query. */
+const NAMES_PER_MS = 250;
+const BURST_NAMES = 200_000;
+const MIN_NAMES_PER_QUERY = 8;
+/** Stale entries tolerated in `arrivals` beyond twice the live ones. */
+const COMPACTION_SLACK = 64;
 
 /**
- * The few that go first for each member by rendezvous, kept from one asking to the next. Invariants: once `whole`, they
- * are the ones that a ranking of all that live would put first; nobody is weighed twice but those kept, and all only
- * where one of the kept is gone; weighing takes a bounded part of the time, and goes on at the next asking.
+ * Selects for each member the few others that rank first by rendezvous hashing, and keeps the selection between
+ * queries. Invariants: once `whole` is true, the selection equals the first of a ranking of all live members; no name
+ * is ranked twice except those selected, and all names are ranked again only if a selected one is gone; ranking takes a
+ * bounded part of the time and continues at the next query.
  */
 export const Nearest = {
-  make(t: Tools) {
-    /** In the order in which they came; a name counts where `at` says so. */
-    let came: string[] = [];
-    const at = new Map<string, number>();
-    const kept = new Map<string, Kept>();
-    let left = BURST,
-      since = t.mono();
-    const allowed = (many: number): number => {
-      const now = t.mono();
-      left = Math.min(BURST, left + PACE * (now - since));
-      since = now;
-      const n = Math.min(many, Math.max(LEAST, Math.floor(left)));
-      left = Math.max(0, left - n);
-      return n;
+  make(deps: Dependencies) {
+    /** Names in order of arrival; an entry is current only if `positions` maps the name to its index. */
+    let arrivals: string[] = [];
+    const positions = new Map<string, number>();
+    const selections = new Map<string, Selection>();
+    let allowance = BURST_NAMES,
+      allowanceAt = deps.mono();
+    /** Takes up to `wanted` names from the rate limit, and at least MIN_NAMES_PER_QUERY. */
+    const takeAllowance = (wanted: number): number => {
+      const now = deps.mono();
+      allowance = Math.min(BURST_NAMES, allowance + NAMES_PER_MS * (now - allowanceAt));
+      allowanceAt = now;
+      const granted = Math.min(wanted, Math.max(MIN_NAMES_PER_QUERY, Math.floor(allowance)));
+      allowance = Math.max(0, allowance - granted);
+      return granted;
     };
-    const tidy = (): void => {
-      if (came.length < 2 * at.size + SPARE) return;
-      const before: number[] = [],
-        live: string[] = [];
-      came.forEach((id, i) => {
-        before.push(live.length);
-        if (at.get(id) === i) live.push(id);
+    /** Removes stale entries from `arrivals` once they outnumber the live ones. */
+    const compact = (): void => {
+      if (arrivals.length < 2 * positions.size + COMPACTION_SLACK) return;
+      const newPositions: number[] = [],
+        liveIds: string[] = [];
+      arrivals.forEach((id, i) => {
+        newPositions.push(liveIds.length);
+        if (positions.get(id) === i) liveIds.push(id);
       });
-      for (const k of kept.values()) k.upto = before[k.upto] ?? live.length;
-      came = live;
-      came.forEach((id, i) => at.set(id, i));
+      for (const selection of selections.values())
+        selection.examinedUpTo = newPositions[selection.examinedUpTo] ?? liveIds.length;
+      arrivals = liveIds;
+      arrivals.forEach((id, i) => positions.set(id, i));
     };
     return {
       joined(id: string): void {
-        tidy();
-        at.set(id, came.length);
-        came.push(id);
+        compact();
+        positions.set(id, arrivals.length);
+        arrivals.push(id);
       },
       left(id: string): void {
-        at.delete(id);
-        kept.delete(id);
+        positions.delete(id);
+        selections.delete(id);
       },
-      of(who: string): Few {
-        const had = kept.get(who) ?? { ids: [], upto: 0 };
-        const ids = had.ids.filter((id) => at.has(id));
-        const from = ids.length < had.ids.length ? 0 : had.upto;
-        const upto = from + (from < came.length ? allowed(came.length - from) : 0);
-        const some = came.slice(from, upto).filter((id, i) => at.get(id) === from + i);
-        if (some.length > 0 || ids.length < had.ids.length)
-          had.ids = Lot.few(who, new Set([...ids, ...some]), (id) => id, t.many + 1)
-            .filter((id) => id !== who)
-            .slice(0, t.many);
-        had.upto = upto;
-        kept.set(who, had);
-        return { ids: had.ids, whole: upto === came.length };
+      of(memberId: string): Peers {
+        const selection = selections.get(memberId) ?? { ids: [], examinedUpTo: 0 };
+        const ids = selection.ids.filter((id) => positions.has(id));
+        const start = ids.length < selection.ids.length ? 0 : selection.examinedUpTo;
+        const end = start + (start < arrivals.length ? takeAllowance(arrivals.length - start) : 0);
+        const candidates = arrivals.slice(start, end).filter((id, i) => positions.get(id) === start + i);
+        if (candidates.length > 0 || ids.length < selection.ids.length)
+          selection.ids = Lot.few(memberId, new Set([...ids, ...candidates]), (id) => id, deps.many + 1)
+            .filter((id) => id !== memberId)
+            .slice(0, deps.many);
+        selection.examinedUpTo = end;
+        selections.set(memberId, selection);
+        return { ids: selection.ids, whole: end === arrivals.length };
       },
     };
   },
--- a/packages/router/src/pace.ts
+++ b/packages/router/src/pace.ts
@@ -1,17 +1,21 @@
-const START = 40;
-const LEAST = 4;
-const MOST = 400;
-const NEW = 0.1;
+const INITIAL_TOKENS_PER_MS = 40;
+const MIN_TOKENS_PER_MS = 4;
+const MAX_TOKENS_PER_MS = 400;
+const SAMPLE_WEIGHT = 0.1;
 
-/** How many prompt tokens a prefill server reads in a ms, learnt from reads that had the server to themselves. */
+/** Learns how many prompt tokens a prefill server reads per ms, from reads that had the server to themselves. */
 export const Pace = {
   make() {
-    let pace = START;
+    let tokensPerMs = INITIAL_TOKENS_PER_MS;
     return {
-      now: (): number => pace,
-      learn(tokens: number, ms: number): void {
+      now: (): number => tokensPerMs,
+      /** Updates the moving average; short prompts are ignored. */
+      observe(tokens: number, ms: number): void {
         if (tokens < 500 || ms <= 0) return;
-        pace = Math.min(MOST, Math.max(LEAST, pace * (1 - NEW) + (tokens / ms) * NEW));
+        tokensPerMs = Math.min(
+          MAX_TOKENS_PER_MS,
+          Math.max(MIN_TOKENS_PER_MS, tokensPerMs * (1 - SAMPLE_WEIGHT) + (tokens / ms) * SAMPLE_WEIGHT),
+        );
       },
     };
   },
--- a/packages/router/src/perservice.ts
+++ b/packages/router/src/perservice.ts
@@ -1,16 +1,19 @@
-const MOST = 256;
+const MAX_SERVICES = 256;
 
-/** One of something for each service. At most MOST are kept, those used last; one that was dropped begins anew. */
+/**
+ * Keeps one value per service, for at most MAX_SERVICES services. The least recently used one is dropped, and its
+ * service starts anew.
+ */
 export const PerService = {
   make<T>(create: () => T) {
-    const kept = new Map<string, T>();
+    const entries = new Map<string, T>();
     return {
       of(service: string): T {
-        const one = kept.get(service) ?? create();
-        kept.delete(service);
-        kept.set(service, one);
-        if (kept.size > MOST) kept.delete(kept.keys().next().value!);
-        return one;
+        const entry = entries.get(service) ?? create();
+        entries.delete(service);
+        entries.set(service, entry);
+        if (entries.size > MAX_SERVICES) entries.delete(entries.keys().next().value!);
+        return entry;
       },
     };
   },
--- a/packages/router/src/placement.test.ts
+++ b/packages/router/src/placement.test.ts
@@ -43,7 +43,7 @@
     return { time, list, loads, health, place, changed, linked, slow, wait, service: services[0]!, route: routes[0]! };
   };
   const none = new Set<string>();
-  it('decodes where a connection stands, if that is hardly busier or farther', () => {
+  it('prefers a decode server with an open connection if it is hardly busier or farther away', () => {
     const cases = [
       { runs: 6, links: [], want: 'd1' },
       { runs: 6, links: ['d2'], want: 'd2' },
@@ -58,11 +58,11 @@
     }
   });
   /**
-   * Symptom: nine tenths of the shared tokens that were read twice, 0.9 of 1 million in a day, were those of long
-   * prompts which decode servers read. Each was sent to the home of its prefix among decode servers, as if that held
-   * the shared part, though nothing had brought it there.
+   * Guards against reading shared tokens twice: nine tenths of such tokens, 0.9 of 1 million in a day, were those of
+   * long prompts read by decode servers. Each prompt was sent to the home of its prefix among the decode servers, as if
+   * that held the shared part, although nothing had brought it there.
    */
-  it('does not take a long shared part to be at a decode server where it was never seen to', () => {
+  it('does not assume a long shared part at a decode server that was never seen to read it', () => {
     for (let i = 0; i < 200; i++) {
       const { place, loads, service, route } = make();
       const p = { ...prompt(300, 6000), parts: prompt(300, 6000).parts.map((x) => ({ ...x, id: `${x.id}${i}` })) };
@@ -70,7 +70,7 @@
       expect(place.weigh(service, route, p, none).read, `prefix ${i}`).to.not.equal(null);
     }
   });
-  it('keeps one prefix at one home, until the home is too busy', () => {
+  it('keeps a prefix at its home until the home is too busy', () => {
     const { place, loads, service, route } = make();
     const p = prompt(1200, 8000);
     const home = place.weigh(service, route, p, none).read!.server.id;
@@ -79,7 +79,7 @@
     for (const id of ['d1', 'd2']) loads.read(id, 60_000);
     expect(place.weigh(service, route, p, none).read!.server.id).to.not.equal(home);
   });
-  it('reads short prompts where they run, unless that is busy reading', () => {
+  it('reads short prompts at the decode server unless that is busy reading', () => {
     const { place, loads, service, route } = make();
     const p = prompt(200, 200);
     expect(place.weigh(service, route, p, none).read).to.equal(null);
@@ -87,7 +87,7 @@
     loads.read('d2', 4000);
     expect(place.weigh(service, route, p, none).read?.server.stage).to.equal('prefill');
   });
-  it('reads where it runs what would wait at readers, as reads lately did, for work that is not heard of', () => {
+  it('reads at the decode server if recent reads waited at prefill servers for work of other routers', () => {
     const { place, wait, service, route } = make();
     const p = prompt(1800, 500);
     expect(place.weigh(service, route, p, none).read?.server.stage).to.equal('prefill');
@@ -97,7 +97,7 @@
     expect(place.weigh(service, route, p, none).ms).to.be.at.most(ms);
     expect(place.weigh(service, route, prompt(9000, 5000), none).read?.server.stage).to.equal('prefill');
   });
-  it('reads long prompts where they run once the readers are far behind', () => {
+  it('reads long prompts at the decode server once the prefill servers are far behind', () => {
     const { place, loads, service, route } = make();
     const p = prompt(3000, 200);
     expect(place.weigh(service, route, p, none).read?.server.stage).to.equal('prefill');
@@ -105,7 +105,7 @@
     loads.read('p2', 40_000);
     expect(place.weigh(service, route, p, none).read).to.equal(null);
   });
-  it('foresees no queue for what is read before all that waits', () => {
+  it('expects no queueing for a tiny prompt, which is read ahead of the queue', () => {
     const { place, loads, service, route } = make();
     for (const id of ['p1', 'p2', 'd1', 'd2']) loads.read(id, 60_000);
     const tiny = place.weigh(service, route, prompt(300, 200), none),
@@ -113,7 +113,7 @@
     expect(tiny.ms).to.be.lessThan(route.aim / 2);
     expect(long.ms).to.be.greaterThan(1500);
   });
-  it('leaves a home that is too busy only for a server at which few wait for what is read again', () => {
+  it('leaves a busy home only for a server where few requests are delayed by the repeated read', () => {
     for (const [reads, stays] of [
       [1, false],
       [20, true],
@@ -128,26 +128,26 @@
       expect(place.weigh(service, route, p, none).read!.server.id === home, `${reads} reads`).to.equal(stays);
     }
   });
-  it('sends nothing to a server that was ordered to another stage', () => {
+  it('chooses no server that was ordered to another stage', () => {
     const { place, changed, service } = make();
     changed.add('d1');
     expect(place.decode(service, null, all[0]!, none)?.id).to.equal('d2');
   });
-  it('leaves a slow server to what the others can not take', () => {
+  it('uses a slow server only for what the others cannot take', () => {
     const { place, slow, loads, service } = make();
     slow.set('d1', 4);
     expect(place.decode(service, prompt(2000), all[0]!, none)!.id).to.equal('d2');
     for (let i = 0; i < 40; i++) loads.run('d2');
     expect(place.decode(service, prompt(2000), all[0]!, none)!.id).to.equal('d1');
   });
-  it('decodes near the memory, until it is clearly busier there', () => {
+  it('decodes in the zone of the KV cache unless that is clearly busier', () => {
     const { place, loads, service } = make();
     expect(place.decode(service, prompt(2000), all[0]!, none)!.id).to.equal('d1');
     expect(place.decode(service, prompt(2000), all[1]!, none)!.id).to.equal('d2');
     for (let i = 0; i < 20; i++) loads.run('d1');
     expect(place.decode(service, prompt(2000), all[0]!, none)!.id).to.equal('d2');
   });
-  it('names a suspect only where no other is left, and never one of another service', () => {
+  it('chooses a suspected server only if no other is left, and never one of another service', () => {
     const { place, health, service } = make();
     health.bad('d1');
     for (let i = 0; i < 20; i++) expect(place.decode(service, null, all[0]!, none)!.id).to.equal('d2');
@@ -155,7 +155,7 @@
     expect(['d1', 'd2']).to.include(place.decode(service, null, all[0]!, none)!.id);
     expect(place.decode(service, null, all[0]!, new Set(['d1', 'd2']))).to.equal(null);
   });
-  it('heeds the words of others while they leave half of a stage, and what it met itself at all times', () => {
+  it('heeds reports of other routers while they leave half of a stage, and its own failures always', () => {
     const { place, health, service } = make();
     health.hint('d1', 'a');
     for (let i = 0; i < 20; i++) expect(place.decode(service, null, all[0]!, none)!.id).to.equal('d2');
--- a/packages/router/src/placement.ts
+++ b/packages/router/src/placement.ts
@@ -8,176 +8,215 @@
 import { Urgency } from './urgency.js';
 import type { Weighed } from './weighed.js';
 
-type Tools = {
+type Dependencies = {
   chance: Chance;
   zone: string;
   list: ServerListing;
   loads: ReturnType<typeof ServerLoads.make>;
   health: ReturnType<typeof ServerHealth.make>;
   kept: ReturnType<typeof KeptParts.make>;
-  /** Whether the sheet says, at this instant, that a server was ordered to another stage than the list shows. */
+  /** Predicate: whether the stage assignments, as of now, order a server to another stage than the list shows. */
   changing: () => (s: Server) => boolean;
-  /** Prompt tokens that a server reads in a ms, as learnt. */
+  /** Measured read rate of a prefill server, in prompt tokens per ms. */
   pace: () => number;
-  /** Whether a request there needs no new connection. */
+  /** Whether a connection to the server is open, so that a request needs no new one. */
   linked: (s: Server) => boolean;
-  /** How much longer than foreseen a server takes. */
+  /** Factor by which a server takes longer than expected. */
   speed: (id: string) => number;
-  /** ms that reads lately waited beyond what was foreseen. */
+  /** Time in ms that recent reads waited beyond what was expected. */
   wait: () => number;
 };
-const NONE: ReadonlySet<string> = new Set();
-const UNWEIGHED: Weighed = { read: null, ms: 0, alone: 0, reading: null };
-type Choice = { s: Server; ms: number };
-/** A decode server reads at this part of the pace, between the tokens of others. */
-const BESIDE = 0.5;
-/** Prompts with fewer tokens to read than this are read where they are decoded, unless that is busy reading. */
-const SHORT = 1000;
-/** What a hand-over takes, in ms; and what one ms of reading beside others is held to cost, in ms of waiting. */
-const HAND = 25;
-const DISTURB = 1.6;
-/** ms from a run's start to its first event. */
-const START = 45;
-/** Each so many runs at a server make reading beside them as costly again. */
-const CROWD = 16;
-/** From so many runs on a decode server reads nothing beside them: each piece read holds all of them up. */
-const CROWDED = 20;
-/** The part of a server's slots that runs may take: beyond it all of them come too slowly. */
-const FULL = 0.7;
-/** Outcomes of fewer tokens than this hardly take a place. */
-const BRIEF = 200;
-/** The part of the aim within which a prefix stays at its home although another server would be sooner. */
-const CALM = 0.75;
-/** ms that one shared token, read again where its home has it, is held to cost: it is work taken from others. */
-const AGAIN = 0.1;
-/** The part of such work that each read waiting at the server is held to lose by it. */
-const DELAYED = 0.5;
-/** ms that another zone than ours is held to cost. */
-const FAR = 4;
-const WARM = 80;
-/** The part of a server's slots that a new connection to it is held to cost: each is paid for, and few see all. */
-const CONNECT = 0.04;
-/** Words of others bar no server where fewer than this part of a stage would be left. */
-const HEEDED = 0.5;
-/** What an idle decode server is held to be busy, so that a slow one is not taken for a quick one while idle. */
+const NO_EXCLUSIONS: ReadonlySet<string> = new Set();
+const NO_ESTIMATE: Weighed = { read: null, ms: 0, alone: 0, reading: null };
+type Choice = { server: Server; ms: number };
+/** A decode server reads prompts at this fraction of a prefill server's rate, between the decoding of other runs. */
+const DECODE_READ_RATE_FRACTION = 0.5;
+/** Prompts with fewer tokens to read than this are read at the decode server, unless that is busy reading. */
+const SHORT_READ_TOKENS = 1000;
+/** Time of a KV cache handover in ms, and the cost of one ms of reading beside other runs, in ms of waiting. */
+const HANDOVER_MS = 25;
+const INTERFERENCE_COST_FACTOR = 1.6;
+/** Time from the start of a run to its first event, in ms. */
+const RUN_START_MS = 45;
+/** Each further set of this many runs at a server adds the same interference cost of reading beside them again. */
+const INTERFERENCE_RUNS = 16;
+/** From this many runs on, a decode server reads no prompts: each chunk it reads delays all of them. */
+const NO_READS_FROM_RUNS = 20;
+/** Fraction of a server's slots that runs may take; beyond it all runs become too slow. */
+const MAX_SLOT_FRACTION = 0.7;
+/** Requests with less output than this hardly occupy a slot. */
+const BRIEF_OUTPUT_TOKENS = 200;
+/**
+ * Fraction of the latency target within which a prompt is read at the home of its prefix although another server would
+ * be sooner.
+ */
+const HOME_AIM_FRACTION = 0.75;
+/**
+ * Cost in ms of reading one shared token again that the prefix's home server holds, since that time is taken from other
+ * prompts.
+ */
+const REREAD_COST_MS_PER_TOKEN = 0.1;
+/** Fraction of such extra work by which each read waiting at the server is assumed to be delayed. */
+const REREAD_DELAY_FRACTION = 0.5;
+/** Cost in ms of a server in another zone. */
+const REMOTE_ZONE_COST_MS = 4;
+const WARMUP_COST_MS = 80;
+/**
+ * Cost of a new connection as a fraction of the server's slots: every connection has to be opened and kept, and few
+ * routers need one to every server.
+ */
+const NEW_CONNECTION_COST = 0.04;
+/** Failure reports of other routers exclude servers only while at least this fraction of the stage is left. */
+const MIN_STAGE_FRACTION_LEFT = 0.5;
+/**
+ * Utilization assumed for an idle decode server, so that a slow one is not preferred to a fast one while both are idle.
+ */
 const IDLE = 0.08;
 
 /**
- * Which servers read and decode a request. Invariants: only servers that a list young at this instant shows ready are
- * named; one under suspicion is named only where no other is left. A prefix has one home among the servers of a stage,
- * by rendezvous, the same for every router; a request leaves it only where waiting there would put its aim at risk.
+ * Chooses the servers that read and decode a request. Invariants: only servers that are ready in a list that is fresh
+ * at this instant are chosen; a suspected one is chosen only if no other is left. Each prefix has one home among the
+ * servers of a stage, by rendezvous hashing, the same for every router; a request is read elsewhere only if waiting at
+ * the home would put its latency target at risk.
  */
 export const Placement = {
-  FULL,
-  make(t: Tools) {
-    const candidates = (service: Service, stage: Server['stage'], not: ReadonlySet<string>): Server[] => {
-      const changing = t.changing();
-      const all = t.list
+  MAX_SLOT_FRACTION: MAX_SLOT_FRACTION,
+  make(deps: Dependencies) {
+    const candidates = (service: Service, stage: Server['stage'], excluded: ReadonlySet<string>): Server[] => {
+      const changing = deps.changing();
+      const all = deps.list
         .all()
         .filter(
           (s) =>
-            s.service === service.name && s.state === 'ready' && s.stage === stage && !not.has(s.id) && !changing(s),
+            s.service === service.name &&
+            s.state === 'ready' &&
+            s.stage === stage &&
+            !excluded.has(s.id) &&
+            !changing(s),
         );
-      const well = all.filter((s) => t.health.open(s.id));
-      if (well.length >= all.length * HEEDED) return well;
-      const fair = all.filter((s) => t.health.fair(s.id));
-      return fair.length > 0 ? fair : all;
+      const healthy = all.filter((s) => deps.health.isOpen(s.id));
+      if (healthy.length >= all.length * MIN_STAGE_FRACTION_LEFT) return healthy;
+      const locallyHealthy = all.filter((s) => deps.health.isOpenLocally(s.id));
+      return locallyHealthy.length > 0 ? locallyHealthy : all;
     };
     const cheapest = (list: readonly Server[], cost: (s: Server) => number): Choice | null => {
       let best: Choice | null = null;
-      for (const s of list) {
-        const ms = cost(s) + t.chance.real() * 0.01;
-        if (!best || ms < best.ms) best = { s, ms };
+      for (const server of list) {
+        const ms = cost(server) + deps.chance.real() * 0.01;
+        if (!best || ms < best.ms) best = { server: server, ms };
       }
       return best;
     };
-    const sharedOf = (p: Prompt): number => p.tokens - (p.parts.at(-1)?.tokens ?? p.tokens);
-    /** Tokens that a server would have to read, if the home of a prefix holds it. */
-    const tokensToRead = (s: Server, p: Prompt, home: Server | undefined): number =>
-      Math.max(1, p.tokens - Math.max(t.kept.held(s.id, p), s === home ? sharedOf(p) : 0));
-    /** Shared tokens that would be read again there. */
-    const sharedTokensReadAgain = (s: Server, p: Prompt, home: Server | undefined): number =>
-      s === home ? 0 : Math.max(0, sharedOf(p) - t.kept.held(s.id, p));
-    const entryCost = (s: Server): number => (s.warm > 0 ? WARM : 0) + (s.zone === t.zone ? 0 : FAR);
-    /** Where it would be read soonest, and when; the home, if that is soon enough. */
-    const choosePrefill = (service: Service, route: Route, p: Prompt, not: ReadonlySet<string>) => {
-      const list = candidates(service, 'prefill', not);
-      const home = Lot.first(KeptParts.home(p), list, (s) => s.id);
-      const ms = (s: Server): number =>
-        ((t.loads.at(s.id).tokens + tokensToRead(s, p, home)) / t.pace()) * t.speed(s.id) + entryCost(s);
-      const cost = (s: Server): number => AGAIN + (t.loads.at(s.id).reads * DELAYED) / t.pace();
-      const best = cheapest(list, (s) => ms(s) + sharedTokensReadAgain(s, p, home) * cost(s));
+    const sharedTokens = (prompt: Prompt): number => prompt.tokens - (prompt.parts.at(-1)?.tokens ?? prompt.tokens);
+    /** Tokens that a server would have to read, assuming that the home of a prefix holds it. */
+    const tokensToRead = (s: Server, prompt: Prompt, home: Server | undefined): number =>
+      Math.max(1, prompt.tokens - Math.max(deps.kept.held(s.id, prompt), s === home ? sharedTokens(prompt) : 0));
+    /** Shared tokens that the server would have to read again although the home holds them. */
+    const sharedTokensReadAgain = (s: Server, prompt: Prompt, home: Server | undefined): number =>
+      s === home ? 0 : Math.max(0, sharedTokens(prompt) - deps.kept.held(s.id, prompt));
+    const entryCost = (s: Server): number =>
+      (s.warm > 0 ? WARMUP_COST_MS : 0) + (s.zone === deps.zone ? 0 : REMOTE_ZONE_COST_MS);
+    /** Chooses the prefill server that reads the prompt soonest, or its home if that is soon enough. */
+    const choosePrefill = (service: Service, route: Route, prompt: Prompt, excluded: ReadonlySet<string>) => {
+      const list = candidates(service, 'prefill', excluded);
+      const home = Lot.first(KeptParts.sharedPrefixKey(prompt), list, (s) => s.id);
+      const expectedMs = (s: Server): number =>
+        ((deps.loads.at(s.id).tokens + tokensToRead(s, prompt, home)) / deps.pace()) * deps.speed(s.id) + entryCost(s);
+      const rereadCost = (s: Server): number =>
+        REREAD_COST_MS_PER_TOKEN + (deps.loads.at(s.id).reads * REREAD_DELAY_FRACTION) / deps.pace();
+      const best = cheapest(list, (s) => expectedMs(s) + sharedTokensReadAgain(s, prompt, home) * rereadCost(s));
       if (!home || !best) return null;
-      const there = ms(home);
-      const chosen = there <= route.aim * CALM ? { s: home, ms: there } : best;
-      return { ...chosen, fresh: tokensToRead(chosen.s, p, home), home: chosen.s === home };
+      const homeMs = expectedMs(home);
+      const chosen = homeMs <= route.aim * HOME_AIM_FRACTION ? { server: home, ms: homeMs } : best;
+      return { ...chosen, fresh: tokensToRead(chosen.server, prompt, home), home: chosen.server === home };
     };
-    const chooseDecode = (service: Service, p: Prompt | null, from: Server | null, not: ReadonlySet<string>) => {
-      const list = candidates(service, service.engine ? 'decode' : null, not);
-      const near = from?.zone ?? t.zone;
-      const most = Math.max(1, service.engine?.slots ?? 1);
-      // Long shared parts are read by readers: a decode server has one only where it was seen to.
-      const home = p && !from && sharedOf(p) < SHORT ? Lot.first(KeptParts.home(p), list, (s) => s.id) : undefined;
+    const chooseDecode = (
+      service: Service,
+      prompt: Prompt | null,
+      prefillServer: Server | null,
+      excluded: ReadonlySet<string>,
+    ) => {
+      const list = candidates(service, service.engine ? 'decode' : null, excluded);
+      const zone = prefillServer?.zone ?? deps.zone;
+      const defaultSlots = Math.max(1, service.engine?.slots ?? 1);
+      // Prompts with long shared parts are read by prefill servers, so a decode server holds such a part only if it was
+      // seen to read it.
+      const home =
+        prompt && !prefillServer && sharedTokens(prompt) < SHORT_READ_TOKENS
+          ? Lot.first(KeptParts.sharedPrefixKey(prompt), list, (s) => s.id)
+          : undefined;
       const best = cheapest(list, (s) => {
-        const { runs, tokens } = t.loads.at(s.id);
-        const busy = runs / Math.max(1, s.slots || most) + tokens / (t.pace() * BESIDE * 1000);
-        const link = t.linked(s) ? 0 : CONNECT;
-        const own = p && !from ? tokensToRead(s, p, home) / (t.pace() * BESIDE * 1000) : 0;
-        return (busy + own + IDLE) * t.speed(s.id) + (s.zone === near ? 0 : 0.12) + (s.warm > 0 ? 0.5 : 0) + link;
+        const { runs, tokens } = deps.loads.at(s.id);
+        const busy =
+          runs / Math.max(1, s.slots || defaultSlots) + tokens / (deps.pace() * DECODE_READ_RATE_FRACTION * 1000);
+        const link = deps.linked(s) ? 0 : NEW_CONNECTION_COST;
+        const own =
+          prompt && !prefillServer
+            ? tokensToRead(s, prompt, home) / (deps.pace() * DECODE_READ_RATE_FRACTION * 1000)
+            : 0;
+        return (busy + own + IDLE) * deps.speed(s.id) + (s.zone === zone ? 0 : 0.12) + (s.warm > 0 ? 0.5 : 0) + link;
       });
-      if (!best || !p || from) return best;
-      const { runs, tokens } = t.loads.at(best.s.id);
-      const work = tokensToRead(best.s, p, home) * DISTURB * (1 + runs / CROWD);
-      // A part that is short has no home worth keeping to among decode servers.
-      const more = sharedTokensReadAgain(best.s, p, home) * AGAIN;
-      return { s: best.s, ms: (tokens + work) / (t.pace() * BESIDE) + more };
+      if (!best || !prompt || prefillServer) return best;
+      const { runs, tokens } = deps.loads.at(best.server.id);
+      const work = tokensToRead(best.server, prompt, home) * INTERFERENCE_COST_FACTOR * (1 + runs / INTERFERENCE_RUNS);
+      // Short shared parts have no home among decode servers that would be worth keeping to.
+      const rereadMs = sharedTokensReadAgain(best.server, prompt, home) * REREAD_COST_MS_PER_TOKEN;
+      return { server: best.server, ms: (tokens + work) / (deps.pace() * DECODE_READ_RATE_FRACTION) + rereadMs };
     };
     return {
-      /** Whether some server has a place for one more run that is not brief. */
-      room(service: Service, p: Prompt | null): boolean {
-        if (!service.engine || !p || p.most < BRIEF) return true;
-        const list = candidates(service, 'decode', NONE);
-        const most = service.engine.slots;
-        return list.length === 0 || list.some((s) => t.loads.at(s.id).runs < (s.slots || most) * FULL);
+      /** Whether some server has a slot for one more run; always true for a run with brief output. */
+      room(service: Service, prompt: Prompt | null): boolean {
+        if (!service.engine || !prompt || prompt.most < BRIEF_OUTPUT_TOKENS) return true;
+        const list = candidates(service, 'decode', NO_EXCLUSIONS);
+        const slots = service.engine.slots;
+        return list.length === 0 || list.some((s) => deps.loads.at(s.id).runs < (s.slots || slots) * MAX_SLOT_FRACTION);
       },
-      /** Where it is to be read first, and when it would begin; looked at once for both. */
-      weigh(service: Service, route: Route, p: Prompt, not: ReadonlySet<string>): Weighed {
-        const apart = service.engine ? choosePrefill(service, route, p, not) : null;
-        const beside = service.engine ? chooseDecode(service, p, null, not) : null;
-        if (!beside) return UNWEIGHED;
-        if (!apart) {
-          const pace = t.pace() * BESIDE;
-          const own = p.tokens - t.kept.held(beside.s.id, p);
+      /**
+       * Estimates where the prompt should be read first and when the first event would come, both from the same state.
+       */
+      weigh(service: Service, route: Route, prompt: Prompt, excluded: ReadonlySet<string>): Weighed {
+        const prefillChoice = service.engine ? choosePrefill(service, route, prompt, excluded) : null;
+        const decodeChoice = service.engine ? chooseDecode(service, prompt, null, excluded) : null;
+        if (!decodeChoice) return NO_ESTIMATE;
+        if (!prefillChoice) {
+          const pace = deps.pace() * DECODE_READ_RATE_FRACTION;
+          const own = prompt.tokens - deps.kept.held(decodeChoice.server.id, prompt);
           return {
-            ...UNWEIGHED,
-            reading: { waits: t.loads.at(beside.s.id).tokens / pace, own: own / pace, beside: true },
+            ...NO_ESTIMATE,
+            reading: { waits: deps.loads.at(decodeChoice.server.id).tokens / pace, own: own / pace, beside: true },
           };
         }
-        const crowded = t.loads.at(beside.s.id).runs >= CROWDED;
-        const short = t.kept.held(beside.s.id, p) + SHORT > p.tokens;
-        // What a decode server has to read is better known than what waits at readers, of which others know the most.
-        const there = apart.ms + HAND + t.wait();
-        const bar = short ? there + SHORT / t.pace() : there;
-        const read = { server: apart.s, fresh: apart.fresh, home: apart.home };
-        const alone = apart.fresh / t.pace() + HAND + START;
-        // What takes next to nothing is read before all that waits: the queue doesn't make it late.
-        const soon = apart.fresh / t.pace() < Urgency.TINY;
-        const ms = (crowded ? apart.ms : Math.min(apart.ms, beside.ms)) + HAND + START;
-        const waits = t.loads.at(apart.s.id).tokens / t.pace();
-        const reading = { waits, own: apart.fresh / t.pace(), beside: false };
-        const readBeside = !crowded && beside.ms <= bar;
+        const crowded = deps.loads.at(decodeChoice.server.id).runs >= NO_READS_FROM_RUNS;
+        const isShort = deps.kept.held(decodeChoice.server.id, prompt) + SHORT_READ_TOKENS > prompt.tokens;
+        // The load of a decode server is known better than the queue of prefill servers, which is mostly work of other
+        // routers.
+        const prefillMs = prefillChoice.ms + HANDOVER_MS + deps.wait();
+        const decodeLimitMs = isShort ? prefillMs + SHORT_READ_TOKENS / deps.pace() : prefillMs;
+        const read = { server: prefillChoice.server, fresh: prefillChoice.fresh, home: prefillChoice.home };
+        const alone = prefillChoice.fresh / deps.pace() + HANDOVER_MS + RUN_START_MS;
+        // A tiny prompt is read ahead of all that waits, so the queue does not delay it.
+        const skipsQueue = prefillChoice.fresh / deps.pace() < Urgency.TINY;
+        const ms =
+          (crowded ? prefillChoice.ms : Math.min(prefillChoice.ms, decodeChoice.ms)) + HANDOVER_MS + RUN_START_MS;
+        const waits = deps.loads.at(prefillChoice.server.id).tokens / deps.pace();
+        const reading = { waits, own: prefillChoice.fresh / deps.pace(), beside: false };
+        const readOnDecode = !crowded && decodeChoice.ms <= decodeLimitMs;
         return {
-          read: readBeside ? null : read,
-          ms: soon ? Math.min(ms, alone) : ms,
+          read: readOnDecode ? null : read,
+          ms: skipsQueue ? Math.min(ms, alone) : ms,
           alone,
-          reading: readBeside ? null : reading,
+          reading: readOnDecode ? null : reading,
         };
       },
-      /** Where it is decoded: few under way, near the memory. */
-      decode: (service: Service, p: Prompt | null, from: Server | null, not: ReadonlySet<string>): Server | null =>
-        chooseDecode(service, p, from, not)?.s ?? null,
-      /** Tokens that the server must read if it is given the prompt without its memory. */
-      fresh: (s: Server, p: Prompt): number => Math.max(1, p.tokens - t.kept.held(s.id, p)),
+      /** Chooses the server that decodes: one with little load, close to the server that holds the KV cache. */
+      decode: (
+        service: Service,
+        prompt: Prompt | null,
+        prefillServer: Server | null,
+        excluded: ReadonlySet<string>,
+      ): Server | null => chooseDecode(service, prompt, prefillServer, excluded)?.server ?? null,
+      /** Tokens that the server must read if it gets the prompt without a KV cache handle. */
+      fresh: (s: Server, prompt: Prompt): number => Math.max(1, prompt.tokens - deps.kept.held(s.id, prompt)),
     };
   },
 };
--- a/packages/router/src/prompt.ts
+++ b/packages/router/src/prompt.ts
@@ -1,8 +1,12 @@
-/** What is known of a prompt before it is read. Invariant: parts stand in order; only the last is the request's own. */
+/**
+ * What is known of a prompt before it is read. Invariant: `parts` are in prompt order, and only the last one is
+ * specific to the request.
+ */
 export type Prompt = {
   model: string;
+  /** Prompt length in tokens. */
   tokens: number;
-  /** Tokens put out at the most. */
+  /** Maximum number of output tokens. */
   most: number;
   parts: readonly { id: string; tokens: number }[];
 };
--- a/packages/router/src/readdeadline.ts
+++ b/packages/router/src/readdeadline.ts
@@ -1,29 +1,34 @@
-/** What a client surely waits for a first event, in ms and in aims, and the part of it that is counted on. */
-const SURE_WAIT = 2000;
-const SURE_AIMS = 4;
-const COUNTED = 0.8;
-/** How many times its own reading a prompt weighs at a decode server: it holds up all that run there. */
-const WEIGHT_BESIDE = 5;
+/**
+ * Time for which every client is assumed to wait for a first event: in ms, and in multiples of the latency target; and
+ * the fraction of it that is relied on.
+ */
+const GUARANTEED_WAIT_MS = 2000;
+const GUARANTEED_WAIT_AIMS = 4;
+const USABLE_WAIT_FRACTION = 0.8;
+/** Weight of a prompt's own read time at a decode server, where the read delays all runs. */
+const DECODE_READ_WEIGHT = 5;
 
-type Reading = {
-  /** ms of reading that wait before it, and that it takes itself. */
+type ReadEstimate = {
+  /** Read time queued ahead of the prompt, and its own read time, in ms. */
   waits: number;
   own: number;
-  /** Whether it would be read beside the runs of a decode server. */
+  /** Whether it would be read at a decode server, between the decoding of other runs. */
   beside: boolean;
+  /** Latency target for the first event, in ms. */
   aim: number;
-  /** ms that the client will still wait. */
+  /** Time for which the client will still wait, in ms. */
   left: number;
 };
 
 /**
- * Which requests would be read too late for their callers, so that the reading would be lost. Where nothing but decode
- * servers is left the long ones go first, since one of them takes the time of many.
+ * Identifies requests whose prompt would be read too late for their clients, so that the read would be wasted. Where
+ * only decode servers are left, long prompts are rejected first, since one of them takes the time of many short ones.
  */
 export const ReadDeadline = {
-  missed(reading: Reading): boolean {
-    const { waits, own, beside, aim, left } = reading;
-    const patience = Math.min(left, Math.max(SURE_WAIT, aim * SURE_AIMS)) * COUNTED;
-    return waits > 0 && waits + own * (beside ? WEIGHT_BESIDE : 1) > patience;
+  missed(estimate: ReadEstimate): boolean {
+    const { waits, own, beside, aim, left } = estimate;
+    const usableWaitMs =
+      Math.min(left, Math.max(GUARANTEED_WAIT_MS, aim * GUARANTEED_WAIT_AIMS)) * USABLE_WAIT_FRACTION;
+    return waits > 0 && waits + own * (beside ? DECODE_READ_WEIGHT : 1) > usableWaitMs;
   },
 };
--- a/packages/router/src/reader.ts
+++ b/packages/router/src/reader.ts
@@ -7,91 +7,98 @@
 import type { ServeTools } from './servetools.js';
 import { Urgency } from './urgency.js';
 
-/** ms that a read may take beyond what is foreseen, and how many times as long as that. */
-const SPARE = 1500;
-const TIMES = 3;
-/** A server that was heard of more lately than this is busy, not gone. */
-const SILENT = 1200;
-/** ms that a read takes beside the reading. */
-const HAND = 20;
+/** A read may take this much longer than expected, in ms, plus this many times the expected time. */
+const TIMEOUT_MARGIN_MS = 1500;
+const TIMEOUT_FACTOR = 3;
+/** A server from which something was received more recently than this is busy, not gone. */
+const SILENCE_MS = 1200;
+/** Overhead of a read in addition to the reading itself, in ms. */
+const READ_OVERHEAD_MS = 20;
 
 /**
- * A prompt is read by a prefill server. Invariants: the list is looked at in the turn of the send; whatever comes of
- * it, nothing has run; only the first read that a server took up is free of tries and budget, and where another can't
- * be paid for, nothing follows it.
+ * Has the prompt of a request read by a prefill server. Invariants: the server list is checked in the same event-loop
+ * turn as the send; whatever the outcome, the request has not been executed; only the first read that a server took up
+ * is exempt from the route's tries and the retry budget; if another send cannot be charged, nothing follows it.
  */
 export const Reader = {
-  make(t: ServeTools) {
-    const now = (): number => t.world.clock.mono();
-    const owed = (job: Job): void => {
-      const budget = t.budgets.of(job.service.name);
-      if (budget.bears()) budget.owe();
+  make(deps: ServeTools) {
+    const now = (): number => deps.world.clock.mono();
+    /** Charges a read that may not have been taken up; if the budget cannot bear it, the job gets no further sends. */
+    const chargeBudget = (job: Job): void => {
+      const budget = deps.budgets.of(job.service.name);
+      if (budget.canCharge()) budget.owe();
       else job.unpaid = true;
     };
-    const failed = (job: Job, s: Server, f: SendFault): void => {
-      job.fault = { ...f, ran: 'no' };
-      t.log.note(job.request.id, 'unread', { at: s.id, word: f.code, why: f.why });
-      // One that was given up in a queue, or cut, may never have been taken up, and counts as any arrival does.
-      if (f.code === 'late' || f.code === 'broken' || f.code === 'stale') owed(job);
-      if (f.code === 'gone') return;
-      job.avoid.add(s.id);
-      if (Blame.turned(f)) {
+    const handleFailure = (job: Job, server: Server, fault: SendFault): void => {
+      job.fault = { ...fault, ran: 'no' };
+      deps.log.note(job.request.id, 'unread', { at: server.id, word: fault.code, why: fault.why });
+      // A read that was cut or given up in the server's queue may never have been taken up, so it counts as any other
+      // send.
+      if (fault.code === 'late' || fault.code === 'broken' || fault.code === 'stale') chargeBudget(job);
+      if (fault.code === 'gone') return;
+      job.avoid.add(server.id);
+      if (Blame.turned(fault)) {
         job.arrivals++;
-        t.turned(s);
+        deps.turned(server);
       }
-      if (Blame.falls(f, t.health.silent(s.id), SILENT)) t.suspect(s, f.why);
+      if (Blame.falls(fault, deps.health.silent(server.id), SILENCE_MS)) deps.suspect(server, fault.why);
     };
-    const send = async (job: Job, s: Server, fresh: number): Promise<Result<Handle, SendFault>> => {
-      const foreseen = (t.loads.at(s.id).tokens + fresh) / t.pace.now();
-      const ms = Math.max(1, Math.min(job.due - now(), SPARE + foreseen * TIMES));
-      const alone = t.loads.at(s.id).reads === 0;
-      const free = t.loads.read(s.id, fresh);
-      const from = now();
+    const send = async (job: Job, server: Server, fresh: number): Promise<Result<Handle, SendFault>> => {
+      const expectedMs = (deps.loads.at(server.id).tokens + fresh) / deps.pace.now();
+      const timeoutMs = Math.max(1, Math.min(job.due - now(), TIMEOUT_MARGIN_MS + expectedMs * TIMEOUT_FACTOR));
+      const alone = deps.loads.at(server.id).reads === 0;
+      const endRead = deps.loads.read(server.id, fresh);
+      const startedAt = now();
       const terms = {
-        ms,
-        urgency: Urgency.of({ aim: job.route.aim, rank: job.rank }, fresh / t.pace.now(), job.ahead),
+        ms: timeoutMs,
+        urgency: Urgency.of({ aim: job.route.aim, rank: job.rank }, fresh / deps.pace.now(), job.ahead),
         signal: job.left.signal,
       };
-      const got = await t.engine.prefill(s, job.request, terms);
-      free();
-      t.counters.count('prefills', got.ok ? 'ok' : got.val.code);
-      if (got.ok && alone) t.pace.learn(fresh, now() - from);
-      if (got.ok) {
-        t.speed.note(s.id, now() - from, foreseen + HAND);
-        t.wait.note(now() - from - foreseen - HAND);
+      const result = await deps.engine.prefill(server, job.request, terms);
+      endRead();
+      deps.counters.count('prefills', result.ok ? 'ok' : result.val.code);
+      if (result.ok && alone) deps.pace.observe(fresh, now() - startedAt);
+      if (result.ok) {
+        deps.speed.note(server.id, now() - startedAt, expectedMs + READ_OVERHEAD_MS);
+        deps.wait.record(now() - startedAt - expectedMs - READ_OVERHEAD_MS);
       }
-      return got;
+      return result;
     };
-    /** Leaves a handle in the job, or a fault. */
+    /** Stores a KV cache handle in the job, or the fault. */
     return async (job: Job): Promise<void> => {
-      const p = job.request.prompt!;
-      const { read: found } = job.weighed ?? t.placement.weigh(job.service, job.route, p, job.avoid);
+      const prompt = job.request.prompt!;
+      const { read: choice } = job.weighed ?? deps.placement.weigh(job.service, job.route, prompt, job.avoid);
       job.weighed = null;
-      if (!found) {
-        t.log.note(job.request.id, 'beside');
+      if (!choice) {
+        deps.log.note(job.request.id, 'beside');
         return;
       }
-      const { server: s, fresh } = found;
+      const { server: server, fresh } = choice;
       if (job.reads > 0) {
-        if (!t.budgets.of(job.service.name).take()) return;
+        if (!deps.budgets.of(job.service.name).take()) return;
         job.arrivals++;
       }
       job.reads++;
-      const why = found.home ? 'home' : '';
-      t.log.note(job.request.id, 'prefill', { at: s.id, tokens: fresh, ahead: t.loads.at(s.id).tokens, why });
-      t.kept.note(s.id, p);
-      const from = now();
-      const over = t.health.begin(s.id);
-      const got = await send(job, s, fresh);
-      if (got.err) {
-        failed(job, s, got.val);
-        over();
+      const why = choice.home ? 'home' : '';
+      deps.log.note(job.request.id, 'prefill', {
+        at: server.id,
+        tokens: fresh,
+        ahead: deps.loads.at(server.id).tokens,
+        why,
+      });
+      deps.kept.note(server.id, prompt);
+      const startedAt = now();
+      const endRequest = deps.health.begin(server.id);
+      const result = await send(job, server, fresh);
+      if (result.err) {
+        handleFailure(job, server, result.val);
+        endRequest();
         return;
       }
-      t.health.stir(s.id);
-      t.health.good(s.id, from);
-      job.handle = got.val;
-      t.log.note(job.request.id, 'handle', { at: s.id, word: got.val.id, tokens: got.val.tokens });
+      deps.health.stir(server.id);
+      deps.health.good(server.id, startedAt);
+      job.handle = result.val;
+      deps.log.note(job.request.id, 'handle', { at: server.id, word: result.val.id, tokens: result.val.tokens });
     };
   },
 };
--- a/packages/router/src/readwait.test.ts
+++ b/packages/router/src/readwait.test.ts
@@ -2,20 +2,20 @@
 import { ReadWait } from './readwait.js';
 import { testClock } from './stand.test.js';
 
-describe('waits of reads that were not foreseen', () => {
-  it('learns them in a fleet of which only a part is heard, and forgets them without news', async () => {
+describe('unexpected waits of prefill reads', () => {
+  it('are learned in a fleet heard only in part, and decay without new samples', async () => {
     const time = testClock();
     let apart = true;
     const wait = ReadWait.make(time.clock, () => apart);
     expect(wait.now()).to.equal(0);
-    for (let i = 0; i < 60; i++) wait.note(i % 2 ? 400 : -50);
+    for (let i = 0; i < 60; i++) wait.record(i % 2 ? 400 : -50);
     expect(wait.now()).to.be.within(150, 250);
     apart = false;
     expect(wait.now()).to.equal(0);
     apart = true;
     await time.pass(30_000);
     expect(wait.now()).to.be.below(2);
-    for (let i = 0; i < 200; i++) wait.note(60_000);
+    for (let i = 0; i < 200; i++) wait.record(60_000);
     expect(wait.now()).to.be.at.most(1000);
   });
 });
--- a/packages/router/src/readwait.ts
+++ b/packages/router/src/readwait.ts
@@ -1,25 +1,25 @@
 import type { Clock } from '@pumicebarrow/forms';
 
-const NEW = 0.1;
-const MOST = 1000;
-/** ms over which what was learnt fades. */
-const FADE = 5000;
+const SAMPLE_WEIGHT = 0.1;
+const MAX_SAMPLE_MS = 1000;
+/** Time constant of the decay of the mean. */
+const DECAY_MS = 5000;
 
 /**
- * ms that reads lately waited beyond what was foreseen: work of other routers that this one has not heard of.
- * Invariant: none in a fleet where each hears of all others, for there it is not unheard work that makes reads wait;
- * without news it fades to none, so that readers are tried again.
+ * Mean time in ms that reads recently waited beyond what was expected, caused by work of other routers that this one
+ * has not heard of. Invariants: zero in a fleet where each router hears from all others, since there it is not unknown
+ * work that makes reads wait; without new samples it decays to zero, so that prefill servers are tried again.
  */
 export const ReadWait = {
-  make(clock: Clock, apart: () => boolean) {
+  make(clock: Clock, isPartial: () => boolean) {
     let mean = 0;
-    let at = -Infinity;
-    const now = (): number => (mean === 0 || !apart() ? 0 : mean * Math.exp(-(clock.mono() - at) / FADE));
+    let lastAt = -Infinity;
+    const value = (): number => (mean === 0 || !isPartial() ? 0 : mean * Math.exp(-(clock.mono() - lastAt) / DECAY_MS));
     return {
-      now,
-      note(ms: number): void {
-        mean = now() * (1 - NEW) + Math.min(MOST, Math.max(0, ms)) * NEW;
-        at = clock.mono();
+      now: value,
+      record(ms: number): void {
+        mean = value() * (1 - SAMPLE_WEIGHT) + Math.min(MAX_SAMPLE_MS, Math.max(0, ms)) * SAMPLE_WEIGHT;
+        lastAt = clock.mono();
       },
     };
   },
--- a/packages/router/src/restlimit.ts
+++ b/packages/router/src/restlimit.ts
@@ -1,34 +1,43 @@
 import type { Clock } from '@pumicebarrow/forms';
 
-/** How long a word counts, the part of a rest that was too long which is still allowed, and the shortest limit. */
-const HOLD = 10_000;
-const PART = 0.15;
-const LEAST = 10;
-/** A connection that rested less than this was in use a moment ago; one whose end takes longer was cut at work. */
-const RESTED = 20;
-const AT_ONCE = 100;
+/**
+ * How long an observation counts, the fraction of an idle time found too long that is still allowed, and the shortest
+ * limit.
+ */
+const RETENTION_MS = 10_000;
+const ALLOWED_IDLE_FRACTION = 0.15;
+const MIN_LIMIT_MS = 10;
+/**
+ * A connection idle for less than this was in use a moment ago; a close that takes longer than this after the send came
+ * from a server already at work.
+ */
+const MIN_IDLE_MS = 20;
+const IMMEDIATE_CLOSE_MS = 100;
 
 /**
- * How long a connection may have rested before it is used again. Servers may forget connections that rest, and tell
- * only whoever sends on one: what was sent may have run, so it is lost. Invariant: a rest that was once too long is not
- * allowed again, at any server, until the word of it has lapsed.
+ * Limits how long a connection may have been idle before it is used again. Servers may drop idle connections without
+ * notice, which shows only when something is sent; that request may have been executed, so it is lost. Invariant: an
+ * idle time that was once too long is not allowed again, at any server, until the observation has expired.
  */
 export const RestLimit = {
   make(clock: Clock) {
-    let most = Infinity;
-    let until = -Infinity;
+    let limitMs = Infinity;
+    let expiresAt = -Infinity;
     const now = (): number => clock.mono();
     return {
-      /** ms; Infinity where no rest was too long lately. */
-      most: (): number => (now() < until ? most : Infinity),
+      /** Longest idle time in ms; Infinity if no idle time was too long recently. */
+      most: (): number => (now() < expiresAt ? limitMs : Infinity),
       /**
-       * On a connection that had rested for `rested` ms nothing came back but its end, `took` ms after the send. True
-       * if it was most likely forgotten.
+       * Records that a connection idle for `idleMs` was closed without a response, `elapsedMs` after a send. True if
+       * the server had most likely dropped the connection.
        */
-      ended(rested: number, took: number): boolean {
-        if (rested < RESTED || took > AT_ONCE) return false;
-        most = Math.max(LEAST, Math.min(now() < until ? most : Infinity, rested * PART));
-        until = now() + HOLD;
+      ended(idleMs: number, elapsedMs: number): boolean {
+        if (idleMs < MIN_IDLE_MS || elapsedMs > IMMEDIATE_CLOSE_MS) return false;
+        limitMs = Math.max(
+          MIN_LIMIT_MS,
+          Math.min(now() < expiresAt ? limitMs : Infinity, idleMs * ALLOWED_IDLE_FRACTION),
+        );
+        expiresAt = now() + RETENTION_MS;
         return true;
       },
     };
--- a/packages/router/src/rounds.test.ts
+++ b/packages/router/src/rounds.test.ts
@@ -2,8 +2,8 @@
 import { Rounds } from './rounds.js';
 import { testClock } from './stand.test.js';
 
-describe('one timer for all that is under way', () => {
-  it('looks at each once a round, until it is taken off', async () => {
+describe('periodic checks on one timer', () => {
+  it('run each check once per interval until it is removed', async () => {
     const time = testClock();
     let timers = 0;
     const after = (ms: number, fn: () => void): (() => void) => {
--- a/packages/router/src/rounds.ts
+++ b/packages/router/src/rounds.ts
@@ -1,24 +1,24 @@
 import { Timer, type Clock } from '@pumicebarrow/forms';
 
 /**
- * Looks after all that is under way by one timer. Invariants: each is looked at once a round until it is taken off;
- * the timer stands still while there is none.
+ * Runs periodic checks of everything under way on one timer. Invariants: each check runs once per interval until it is
+ * removed; the timer is stopped while there are no checks.
  */
 export const Rounds = {
-  make(clock: Clock, ms: number) {
-    const looks = new Set<() => void>();
+  make(clock: Clock, intervalMs: number) {
+    const checks = new Set<() => void>();
     let stop: (() => void) | null = null;
-    const round = (): void => {
-      for (const look of looks) look();
-      if (looks.size > 0) return;
+    const runChecks = (): void => {
+      for (const check of checks) check();
+      if (checks.size > 0) return;
       stop?.();
       stop = null;
     };
-    /** Gives what takes it off again. */
-    return (look: () => void): (() => void) => {
-      looks.add(look);
-      stop ??= Timer.every(clock, ms, round);
-      return () => void looks.delete(look);
+    /** Adds a check and returns the function that removes it. */
+    return (check: () => void): (() => void) => {
+      checks.add(check);
+      stop ??= Timer.every(clock, intervalMs, runChecks);
+      return () => void checks.delete(check);
     };
   },
 };
--- a/packages/router/src/server.ts
+++ b/packages/router/src/server.ts
@@ -1,6 +1,9 @@
 import { Type, type Static } from 'typebox';
 
-/** One model server as the platform lists it. Every start is a new life under a new `id`; an address may be reused. */
+/**
+ * One model server as the platform lists it. Every start of a server is a new incarnation with a new `id`; an address
+ * may be reused.
+ */
 export const Server = Type.Object(
   {
     id: Type.String({ minLength: 1, maxLength: 120 }),
--- a/packages/router/src/serverhealth.test.ts
+++ b/packages/router/src/serverhealth.test.ts
@@ -2,48 +2,48 @@
 import { ServerHealth } from './serverhealth.js';
 import { testClock } from './stand.test.js';
 
-describe('the health of servers', () => {
-  it('leaves one that failed alone, then tries it with one request, for longer each time', async () => {
+describe('server health', () => {
+  it('avoids a failed server, then tries it with one request, for longer after each failed trial', async () => {
     const time = testClock();
     const h = ServerHealth.make(time.clock);
     expect(h.bad('s')).to.equal(true);
     expect(h.bad('s')).to.equal(false);
-    expect(h.open('s')).to.equal(false);
+    expect(h.isOpen('s')).to.equal(false);
     await time.pass(700);
-    expect(h.open('s')).to.equal(true);
+    expect(h.isOpen('s')).to.equal(true);
     h.begin('s');
-    expect(h.open('s')).to.equal(false);
+    expect(h.isOpen('s')).to.equal(false);
     h.bad('s');
     await time.pass(1300);
-    expect(h.open('s')).to.equal(false);
+    expect(h.isOpen('s')).to.equal(false);
     await time.pass(100);
-    expect(h.open('s')).to.equal(true);
+    expect(h.isOpen('s')).to.equal(true);
     h.good('s');
     h.begin('s');
-    expect(h.open('s')).to.equal(true);
+    expect(h.isOpen('s')).to.equal(true);
   });
-  it('leaves one that fails now and then alone for longer each time', async () => {
+  it('avoids a server that fails intermittently for longer each time', async () => {
     const time = testClock();
     const h = ServerHealth.make(time.clock);
     const shutFor: number[] = [];
     for (let i = 0; i < 4; i++) {
       h.bad('s');
       let ms = 0;
-      for (; !h.open('s'); ms += 100) await time.pass(100);
+      for (; !h.isOpen('s'); ms += 100) await time.pass(100);
       shutFor.push(ms);
       h.begin('s');
       h.good('s');
     }
     expect(shutFor[3]).to.be.greaterThan(3 * shutFor[0]!);
   });
-  it('leaves one that turns requests away alone for a moment, for longer while it goes on', async () => {
+  it('avoids a server that rejects requests for a moment, longer while it goes on', async () => {
     const time = testClock();
     const h = ServerHealth.make(time.clock);
     const turnedFor = async (): Promise<number> => {
       expect(h.turned('s')).to.equal(true);
       expect(h.turned('s')).to.equal(false);
       let ms = 0;
-      for (; !h.open('s'); ms += 50) await time.pass(50);
+      for (; !h.isOpen('s'); ms += 50) await time.pass(50);
       return ms;
     };
     expect([await turnedFor(), await turnedFor(), await turnedFor(), await turnedFor()]).to.deep.equal([
@@ -54,29 +54,29 @@
     h.bad('s');
     expect(h.bad('s')).to.equal(false);
   });
-  it("leaves one alone for half as long at another's word", async () => {
+  it("avoids a server for half as long on another router's report", async () => {
     const time = testClock();
     const h = ServerHealth.make(time.clock);
     h.hint('s');
-    expect(h.open('s')).to.equal(false);
+    expect(h.isOpen('s')).to.equal(false);
     await time.pass(350);
-    expect(h.open('s')).to.equal(true);
+    expect(h.isOpen('s')).to.equal(true);
   });
-  it('is not opened by what was sent before it failed', async () => {
+  it('is not restored by a request sent before the failure', async () => {
     const time = testClock();
     const h = ServerHealth.make(time.clock);
     const sent = time.clock.mono();
     await time.pass(100);
     h.bad('s');
     h.good('s', sent);
-    expect(h.open('s')).to.equal(false);
+    expect(h.isOpen('s')).to.equal(false);
     await time.pass(700);
     expect(h.suspected()).to.deep.equal(['s']);
     h.begin('s');
     h.good('s', time.clock.mono());
     expect(h.suspected()).to.deep.equal([]);
   });
-  it('gives a trial that showed nothing to another request, and never two at a time', async () => {
+  it('passes a trial without a result to another request, and never runs two at a time', async () => {
     const time = testClock();
     const h = ServerHealth.make(time.clock);
     h.bad('s');
@@ -85,17 +85,17 @@
     await time.pass(1400);
     const over = h.begin('s');
     late();
-    expect(h.open('s')).to.equal(false);
+    expect(h.isOpen('s')).to.equal(false);
     over();
-    expect(h.open('s')).to.equal(true);
+    expect(h.isOpen('s')).to.equal(true);
   });
-  it('leaves one alone for longer at the words of several, and no two daemons come back at once', async () => {
+  it('avoids a server for longer on reports of several routers, and spreads the return of the daemons', async () => {
     const time = testClock();
     const shutFor = async (words: readonly string[], chance: number): Promise<number> => {
       const h = ServerHealth.make(time.clock);
       for (const by of words) h.hint('s', by, chance);
       let ms = 0;
-      for (; !h.open('s'); ms += 50) await time.pass(50);
+      for (; !h.isOpen('s'); ms += 50) await time.pass(50);
       return ms;
     };
     expect(await shutFor(['a'], 0)).to.equal(350);
@@ -110,9 +110,9 @@
     await time.pass(20_000);
     h.hint('s', 'c');
     await time.pass(400);
-    expect(h.open('s')).to.equal(true);
+    expect(h.isOpen('s')).to.equal(true);
   });
-  it('holds the handles of a server to be at fault only where several running could not be fetched', async () => {
+  it('blames the handles of a server only after several consecutive ones could not be fetched', async () => {
     const time = testClock();
     const h = ServerHealth.make(time.clock);
     expect(h.lapse('s')).to.equal(false);
--- a/packages/router/src/serverhealth.ts
+++ b/packages/router/src/serverhealth.ts
@@ -1,150 +1,184 @@
 import type { Clock } from '@pumicebarrow/forms';
 
-type Row = {
-  stir: number;
-  level: number;
-  /** Since when and until when it is left alone for what this daemon met; `word`: for what others said. */
-  since: number;
-  until: number;
-  shut: boolean;
-  trial: number;
-  turns: number;
-  /** Handles of it running that no server could fetch, and when the last was. */
-  lapses: number;
-  lapsed: number;
-  word: { until: number; weight: number; at: number; by: string };
+type Health = {
+  lastActivity: number;
+  failureLevel: number;
+  /**
+   * When a failure was last counted, and until when this daemon avoids the server for what its own requests met.
+   * `peerReport` does the same for what other routers reported.
+   */
+  suspectedAt: number;
+  closedUntil: number;
+  suspected: boolean;
+  trialId: number;
+  rejections: number;
+  /** Consecutive KV cache handles of this server that no other server could fetch, and when the last of them was. */
+  handleLosses: number;
+  lastHandleLossAt: number;
+  peerReport: { until: number; weight: number; at: number; by: string };
 };
-const FIRST = 700;
-const MOST = 5600;
-/** ms for which one that turned a request away is left alone: doubled each time running, to a limit. */
-const TURNED = 250;
-const LONGEST = 1000;
-const TOP = 5;
-/** What one good outcome takes off the level that one failure adds to by 1. */
-const EASE = 0.12;
-/** Handles running that could not be fetched, after which their server is at fault, and ms until one is forgotten. */
-const LAPSES = 2;
-const LAPSE = 10_000;
-/** ms over which words of others fade, and the most that they weigh together. */
-const FADE = 4000;
-const HEAVY = 4;
-/** How far apart daemons come back to a server, as a part of what its second word bars it for. */
-const APART = 3;
+/** First and longest time for which a suspected server is avoided. */
+const FIRST_CLOSURE_MS = 700;
+const MAX_CLOSURE_MS = 5600;
+/** First pause after a rejected request, in ms; doubled for each consecutive rejection, up to the limit. */
+const FIRST_REJECTION_PAUSE_MS = 250;
+const MAX_REJECTION_PAUSE_MS = 1000;
+const MAX_FAILURE_LEVEL = 5;
+/** Reduction of the failure level by one success; one failure raises it by 1. */
+const SUCCESS_LEVEL_REDUCTION = 0.12;
+/**
+ * Consecutive handles that could not be fetched after which the server itself is at fault, and the time in ms after
+ * which the count starts anew.
+ */
+const HANDLE_LOSS_THRESHOLD = 2;
+const HANDLE_LOSS_WINDOW_MS = 10_000;
+/** Time constant in ms by which the weight of peer reports decays, and the largest weight they reach together. */
+const PEER_REPORT_DECAY_MS = 4000;
+const MAX_PEER_REPORT_WEIGHT = 4;
+/**
+ * How far the daemons' returns to a server are spread, as a multiple of the closure for each report beyond the first.
+ */
+const RETURN_SPREAD_FACTOR = 3;
 
 /**
- * How servers fare, judged by what requests met and by nothing else: a health answer may be false either way.
- * Invariants: a server that failed is left alone for a time that doubles with its level; after it, one request at a
- * time tries it, and a good outcome of one sent since opens it again; its level falls slowly, so that one which fails
- * a part of its requests is left alone for longer each time; words of several others bar it for longer, and not for
- * all daemons to the same instant, so that a few of them try it first; one that turns requests away is left alone for
- * a moment; suspicion bars no server while no other is left.
+ * Health of servers as judged by the outcomes of requests alone, since a health endpoint may be wrong either way.
+ * Invariants: a server that failed is avoided for a time that doubles with its failure level. After that, one request
+ * at a time tries it, and the success of a request sent since then reopens it. The level falls slowly, so a server that
+ * fails a part of its requests is avoided longer each time. Reports of several other routers avoid it for longer, and
+ * not until the same instant at all daemons, so that only a few try it first. A server that rejects requests is avoided
+ * for a moment. Suspicion excludes no server while no other is left.
  */
 export const ServerHealth = {
   make(clock: Clock) {
-    const rows = new Map<string, Row>();
+    const rows = new Map<string, Health>();
     let trials = 0;
-    const row = (id: string): Row => {
+    const healthOf = (id: string): Health => {
       const old = rows.get(id);
       if (old) return old;
       const next = {
-        ...{ stir: -Infinity, level: 0, since: -Infinity, until: -Infinity, shut: false, trial: 0, turns: 0 },
-        ...{ lapses: 0, lapsed: -Infinity },
-        word: { until: -Infinity, weight: 0, at: -Infinity, by: '' },
+        ...{
+          lastActivity: -Infinity,
+          failureLevel: 0,
+          suspectedAt: -Infinity,
+          closedUntil: -Infinity,
+          suspected: false,
+          trialId: 0,
+          rejections: 0,
+        },
+        ...{ handleLosses: 0, lastHandleLossAt: -Infinity },
+        peerReport: { until: -Infinity, weight: 0, at: -Infinity, by: '' },
       };
       rows.set(id, next);
       return next;
     };
     return {
-      /** Any byte from the server. */
+      /** Any byte was received from the server. */
       stir(id: string): void {
-        row(id).stir = clock.mono();
+        healthOf(id).lastActivity = clock.mono();
       },
-      silent: (id: string): number => clock.mono() - row(id).stir,
-      /** A request that was sent at `sent` went well. */
-      good(id: string, sent = Infinity): void {
-        const r = row(id);
-        r.level = Math.max(0, r.level - EASE);
-        if (r.shut && sent < r.since) return;
-        r.until = -Infinity;
-        r.shut = false;
-        r.trial = 0;
-        r.turns = 0;
+      silent: (id: string): number => clock.mono() - healthOf(id).lastActivity,
+      /** A request that was sent at `sentAt` succeeded. */
+      good(id: string, sentAt = Infinity): void {
+        const health = healthOf(id);
+        health.failureLevel = Math.max(0, health.failureLevel - SUCCESS_LEVEL_REDUCTION);
+        if (health.suspected && sentAt < health.suspectedAt) return;
+        health.closedUntil = -Infinity;
+        health.suspected = false;
+        health.trialId = 0;
+        health.rejections = 0;
       },
       /**
-       * It turned a request away: full, or changing its stage. No failure, but the next would fare alike. True if this
-       * is news: it was open before.
+       * The server rejected a request because it is full or changing its stage. This is no failure, but the next
+       * request would be rejected too. True if the server was open before.
        */
       turned(id: string): boolean {
-        const r = row(id),
+        const health = healthOf(id),
           now = clock.mono();
-        const fresh = r.until <= now;
-        if (fresh) r.turns++;
-        r.until = Math.max(r.until, now + Math.min(LONGEST, TURNED * 2 ** (r.turns - 1)));
-        return fresh;
+        const wasOpen = health.closedUntil <= now;
+        if (wasOpen) health.rejections++;
+        health.closedUntil = Math.max(
+          health.closedUntil,
+          now + Math.min(MAX_REJECTION_PAUSE_MS, FIRST_REJECTION_PAUSE_MS * 2 ** (health.rejections - 1)),
+        );
+        return wasOpen;
       },
       /**
-       * A server could not fetch a handle of this one. True once its handles are held to be at fault: the one who
-       * should fetch may be full instead, and says so in the same words.
+       * Another server could not fetch a handle of this one. True once this server's handles are considered at fault:
+       * the fetching server may be full instead, and reports that in the same words.
        */
       lapse(id: string): boolean {
-        const r = row(id),
+        const health = healthOf(id),
           now = clock.mono();
-        r.lapses = now - r.lapsed > LAPSE ? 1 : r.lapses + 1;
-        r.lapsed = now;
-        return r.lapses >= LAPSES;
+        health.handleLosses = now - health.lastHandleLossAt > HANDLE_LOSS_WINDOW_MS ? 1 : health.handleLosses + 1;
+        health.lastHandleLossAt = now;
+        return health.handleLosses >= HANDLE_LOSS_THRESHOLD;
       },
-      /** A handle of it was fetched. */
+      /** A handle of this server was fetched. */
       fetched(id: string): void {
-        row(id).lapses = 0;
+        healthOf(id).handleLosses = 0;
       },
-      /** True if this is news: the server was open to all before. */
+      /** A request to the server failed. True if the server was open to all requests before. */
       bad(id: string): boolean {
-        const r = row(id),
+        const health = healthOf(id),
           now = clock.mono();
-        const fresh = !r.shut;
-        if (fresh || r.trial > 0) r.level = Math.min(TOP, r.level + 1);
-        if (fresh || r.trial > 0) r.since = now;
-        r.trial = 0;
-        r.shut = true;
-        r.until = Math.max(r.until, now + Math.min(MOST, FIRST * 2 ** (r.level - 1)));
-        return fresh;
+        const newlySuspected = !health.suspected;
+        if (newlySuspected || health.trialId > 0)
+          health.failureLevel = Math.min(MAX_FAILURE_LEVEL, health.failureLevel + 1);
+        if (newlySuspected || health.trialId > 0) health.suspectedAt = now;
+        health.trialId = 0;
+        health.suspected = true;
+        health.closedUntil = Math.max(
+          health.closedUntil,
+          now + Math.min(MAX_CLOSURE_MS, FIRST_CLOSURE_MS * 2 ** (health.failureLevel - 1)),
+        );
+        return newlySuspected;
       },
       /**
-       * Another daemon suspects it: it is left alone for a moment, for it may be their link. Words of several daemons
-       * weigh together; of one daemon they count once. `chance` spreads the daemons' return.
+       * Another daemon reported a failure. The server is avoided only for a moment, since the cause may be that
+       * daemon's link. Reports of several daemons add up; repeated reports of the same daemon in a row count once.
+       * `random` spreads the times at which daemons return.
        */
-      hint(id: string, by = '', chance = 0): void {
-        const { word } = row(id),
+      hint(id: string, by = '', random = 0): void {
+        const { peerReport: peerReport } = healthOf(id),
           now = clock.mono();
-        const left = word.weight * Math.exp(-(now - word.at) / FADE);
-        word.weight = Math.min(HEAVY, word.by === by ? Math.max(1, left) : left + 1);
-        word.at = now;
-        word.by = by;
-        const ms = (FIRST / 2) * 2 ** (word.weight - 1) * (1 + chance * APART * (word.weight - 1));
-        word.until = Math.max(word.until, now + Math.min(MOST, ms));
+        const remaining = peerReport.weight * Math.exp(-(now - peerReport.at) / PEER_REPORT_DECAY_MS);
+        peerReport.weight = Math.min(
+          MAX_PEER_REPORT_WEIGHT,
+          peerReport.by === by ? Math.max(1, remaining) : remaining + 1,
+        );
+        peerReport.at = now;
+        peerReport.by = by;
+        const ms =
+          (FIRST_CLOSURE_MS / 2) *
+          2 ** (peerReport.weight - 1) *
+          (1 + random * RETURN_SPREAD_FACTOR * (peerReport.weight - 1));
+        peerReport.until = Math.max(peerReport.until, now + Math.min(MAX_CLOSURE_MS, ms));
       },
-      /** Whether requests may go there now; the one that is let in after a suspicion has the trial. */
-      open(id: string): boolean {
-        const r = rows.get(id);
-        if (!r) return true;
+      /** Whether requests may be sent to the server now; the first request after a suspicion is the trial. */
+      isOpen(id: string): boolean {
+        const health = rows.get(id);
+        if (!health) return true;
         const now = clock.mono();
-        return r.until <= now && r.word.until <= now && !(r.shut && r.trial > 0);
+        return health.closedUntil <= now && health.peerReport.until <= now && !(health.suspected && health.trialId > 0);
       },
-      /** Whether they might, were it not for what others said. */
-      fair(id: string): boolean {
-        const r = rows.get(id);
-        return !r || (r.until <= clock.mono() && !(r.shut && r.trial > 0));
+      /** Whether they might be sent if peer reports are ignored. */
+      isOpenLocally(id: string): boolean {
+        const health = rows.get(id);
+        return !health || (health.closedUntil <= clock.mono() && !(health.suspected && health.trialId > 0));
       },
-      /** Those that failed and have not done well since. */
-      suspected: (): string[] => [...rows].flatMap(([id, r]) => (r.shut ? [id] : [])),
-      /** Gives what is called once it is over and judged: a trial that showed nothing is left to another request. */
+      /** Servers that failed and have not succeeded since. */
+      suspected: (): string[] => [...rows].flatMap(([id, r]) => (r.suspected ? [id] : [])),
+      /**
+       * Starts a request and returns the function to call once its outcome is judged; a trial without a result is
+       * passed on to another request.
+       */
       begin(id: string): () => void {
-        const r = rows.get(id);
-        if (!r?.shut || r.trial > 0) return () => undefined;
-        const mine = ++trials;
-        r.trial = mine;
+        const health = rows.get(id);
+        if (!health?.suspected || health.trialId > 0) return () => undefined;
+        const ownTrial = ++trials;
+        health.trialId = ownTrial;
         return () => {
-          if (r.trial === mine) r.trial = 0;
+          if (health.trialId === ownTrial) health.trialId = 0;
         };
       },
       only(ids: ReadonlySet<string>): void {
--- a/packages/router/src/serverindex.ts
+++ b/packages/router/src/serverindex.ts
@@ -3,24 +3,24 @@
 import type { ListBody } from './listbody.js';
 import { ListRows } from './listrows.js';
 
-type Index = { mark: Mark; body: unknown; ids: readonly string[]; places: ReadonlyMap<string, number> };
+type ListIndex = { mark: Mark; body: unknown; ids: readonly string[]; places: ReadonlyMap<string, number> };
 
 /**
- * The places of servers in the shared list, by which they are named between daemons that hold the same one.
- * Invariant: a place means a server only together with the mark of the list.
+ * Maps servers to their places in the shared list, by which daemons that hold the same list refer to them. Invariant: a
+ * place identifies a server only together with the version stamp of the list.
  */
 export const ServerIndex = {
-  make(shelf: Holding) {
-    let held: Index | null = null;
-    const now = (): Index | null => {
-      const doc = shelf.get('list');
+  make(store: Holding) {
+    let cached: ListIndex | null = null;
+    const current = (): ListIndex | null => {
+      const doc = store.get('list');
       if (!doc) return null;
-      if (held?.body !== doc.body) {
+      if (cached?.body !== doc.body) {
         const ids = ListRows.open(doc.body as ListBody).map((s) => s.id);
-        held = { mark: doc.mark, body: doc.body, ids, places: new Map(ids.map((id, i) => [id, i])) };
+        cached = { mark: doc.mark, body: doc.body, ids, places: new Map(ids.map((id, i) => [id, i])) };
       }
-      return held;
+      return cached;
     };
-    return { now };
+    return { current: current };
   },
 };
--- a/packages/router/src/serverlist.ts
+++ b/packages/router/src/serverlist.ts
@@ -1,68 +1,79 @@
 import { type Clock } from '@pumicebarrow/forms';
 import type { Server } from './server.js';
 
-type Ear = (now: readonly Server[], was: readonly Server[]) => void;
-type Table = { all: readonly Server[]; byId: ReadonlyMap<string, Server> };
-const EMPTY: Table = { all: [], byId: new Map() };
-const table = (servers: readonly Server[]): Table => ({ all: servers, byId: new Map(servers.map((s) => [s.id, s])) });
+type ChangeListener = (now: readonly Server[], was: readonly Server[]) => void;
+type ServerTable = { all: readonly Server[]; byId: ReadonlyMap<string, Server> };
+const EMPTY_TABLE: ServerTable = { all: [], byId: new Map() };
+const buildTable = (servers: readonly Server[]): ServerTable => ({
+  all: servers,
+  byId: new Map(servers.map((s) => [s.id, s])),
+});
 
 /**
- * The platform's list as this daemon holds it. Invariants: its age counts from before it was asked for, on our own
- * steady clock; nothing is read off a list older than `oldest`; a sleep of unknown length makes it too old.
+ * The platform's server list as this daemon holds it. Invariants: its age is counted from before it was asked for, on
+ * this daemon's own monotonic clock; nothing is read from a list older than `maxAgeMs`; a suspension of unknown length
+ * makes it too old.
  */
 export const ServerList = {
-  make(clock: Clock, oldest: () => number, look: () => void) {
-    let held = EMPTY;
-    let from = -Infinity;
-    let dropped = -Infinity;
-    let by: 'shared' | 'asked' = 'shared';
-    const ears: Ear[] = [];
-    const age = (): number => clock.mono() - from;
-    const young = (): boolean => {
-      look();
-      return age() < oldest();
+  make(clock: Clock, maxAgeMs: () => number, detectSleep: () => void) {
+    let held = EMPTY_TABLE;
+    let knownAt = -Infinity;
+    let invalidatedAt = -Infinity;
+    let source: 'shared' | 'asked' = 'shared';
+    const listeners: ChangeListener[] = [];
+    const ageMs = (): number => clock.mono() - knownAt;
+    const isFresh = (): boolean => {
+      detectSleep();
+      return ageMs() < maxAgeMs();
     };
-    const set = (servers: readonly Server[]): void => {
-      const was = held.all;
-      held = table(servers);
-      for (const fn of ears) fn(held.all, was);
+    const setServers = (servers: readonly Server[]): void => {
+      const previous = held.all;
+      held = buildTable(servers);
+      for (const listener of listeners) listener(held.all, previous);
     };
     return {
-      young,
-      age,
-      /** A whole list that was asked for at `at`, by whomever; false if what is held is younger. */
-      take(servers: readonly Server[], at: number, how: 'shared' | 'asked'): boolean {
-        look();
-        if (at <= from || at < dropped) return false;
-        from = at;
-        by = how;
-        set(servers);
+      young: isFresh,
+      age: ageMs,
+      /**
+       * Replaces the list by a whole one that was asked for at `at`, by any daemon; false if the list held is newer.
+       */
+      take(servers: readonly Server[], at: number, newSource: 'shared' | 'asked'): boolean {
+        detectSleep();
+        if (at <= knownAt || at < invalidatedAt) return false;
+        knownAt = at;
+        source = newSource;
+        setServers(servers);
         return true;
       },
-      /** A later list than the shared one held, of an age not known yet: what it shows counts, its youth does not. */
+      /**
+       * Applies a newer version of the shared list whose age is not yet known: its contents count, but the list gets no
+       * fresher.
+       */
       glimpse(servers: readonly Server[]): void {
-        if (by === 'shared') set(servers);
+        if (source === 'shared') setServers(servers);
       },
-      /** What is held was still the newest at `at`; false if it is not the shared one. */
+      /** Records that the list held was still the newest at `at`; false if it is not the shared list. */
       confirm(at: number): boolean {
-        look();
-        if (by === 'shared' && at > from && at >= dropped) from = at;
-        return by === 'shared';
+        detectSleep();
+        if (source === 'shared' && at > knownAt && at >= invalidatedAt) knownAt = at;
+        return source === 'shared';
       },
-      /** Whether what is held is the shared list, and not one asked of the platform or of a router. */
-      shared: (): boolean => by === 'shared',
+      /** Whether the list held is the shared one, not one fetched from the platform or another router. */
+      shared: (): boolean => source === 'shared',
+      /** Makes the list too old, whatever was known of its age. */
       drop(): void {
-        from = -Infinity;
-        dropped = clock.mono();
+        knownAt = -Infinity;
+        invalidatedAt = clock.mono();
       },
-      heed(fn: Ear): void {
-        ears.push(fn);
+      heed(listener: ChangeListener): void {
+        listeners.push(listener);
       },
-      all: (): readonly Server[] => (young() ? held.all : []),
-      /** Whatever was last seen, however old: for asking about, never for sending by. */
-      seen: (): readonly Server[] => held.all,
+      all: (): readonly Server[] => (isFresh() ? held.all : []),
+      /** The last list seen, however old: for asking about servers, never for sending to them. */
+      lastKnownServers: (): readonly Server[] => held.all,
+      /** The server if the list is fresh and shows it ready. */
       good(id: string): Server | null {
-        if (!young()) return null;
+        if (!isFresh()) return null;
         const s = held.byId.get(id);
         return s && s.state === 'ready' ? s : null;
       },
--- a/packages/router/src/serverlisting.ts
+++ b/packages/router/src/serverlisting.ts
@@ -1,4 +1,4 @@
 import type { ServerList } from './serverlist.js';
 
-/** The list as its readers use it. */
+/** Type of the server list, for modules that use it. */
 export type ServerListing = ReturnType<typeof ServerList.make>;
--- a/packages/router/src/serverloads.ts
+++ b/packages/router/src/serverloads.ts
@@ -1,80 +1,91 @@
-type Row = { runs: number; reads: number; tokens: number };
-type Exact = { all: ReadonlyMap<string, Row>; own: ReadonlyMap<string, Row>; at: number };
-/** ms for which the loads of all, once asked for, go before what others last said. */
-const EXACT = 400;
-const NONE: Row = { runs: 0, reads: 0, tokens: 0 };
+/** Runs in progress, prompts waiting to be read, and their tokens. */
+type ServerLoad = { runs: number; reads: number; tokens: number };
+type FleetLoads = { all: ReadonlyMap<string, ServerLoad>; own: ReadonlyMap<string, ServerLoad>; at: number };
+/** How long the loads of all routers, once fetched, take precedence over what others reported by gossip. */
+const FLEET_LOADS_VALID_MS = 400;
+const NO_LOAD: ServerLoad = { runs: 0, reads: 0, tokens: 0 };
 
-/** What this daemon has under way at each server, and what others last said they have. */
+/** What this daemon has under way at each server, and what others last reported of theirs. */
 export const ServerLoads = {
   make(mono: () => number = () => 0) {
-    const own = new Map<string, Row>();
-    let others: ReadonlyMap<string, Row> = new Map();
-    /** Adds up what was heard since; null once that is done. */
-    let added: (() => ReadonlyMap<string, Row>) | null = null;
-    let heed: (id: string) => void = () => undefined;
-    let exact: Exact | null = null;
-    const bump = (id: string, by: Row): void => {
-      const row = own.get(id) ?? NONE;
-      const next = { runs: row.runs + by.runs, reads: row.reads + by.reads, tokens: row.tokens + by.tokens };
+    const own = new Map<string, ServerLoad>();
+    let gossipedLoads: ReadonlyMap<string, ServerLoad> = new Map();
+    /** Adds up the gossip received since; null once that is done. */
+    let gossipSource: (() => ReadonlyMap<string, ServerLoad>) | null = null;
+    let notifyChange: (id: string) => void = () => undefined;
+    let fleetLoads: FleetLoads | null = null;
+    const adjust = (id: string, delta: ServerLoad): void => {
+      const current = own.get(id) ?? NO_LOAD;
+      const next = {
+        runs: current.runs + delta.runs,
+        reads: current.reads + delta.reads,
+        tokens: current.tokens + delta.tokens,
+      };
       if (next.runs === 0 && next.reads === 0) own.delete(id);
       else own.set(id, next);
-      heed(id);
+      notifyChange(id);
     };
-    const add = (id: string, by: Row): (() => void) => {
+    const add = (id: string, delta: ServerLoad): (() => void) => {
       let open = true;
-      bump(id, by);
+      adjust(id, delta);
       return () => {
-        if (open) bump(id, { runs: -by.runs, reads: -by.reads, tokens: -by.tokens });
+        if (open) adjust(id, { runs: -delta.runs, reads: -delta.reads, tokens: -delta.tokens });
         open = false;
       };
     };
-    /** What all had under way when it was asked for, and what began or ended here since. */
-    const since = (then: Exact, id: string): Row => {
-      const all = then.all.get(id) ?? NONE,
-        was = then.own.get(id) ?? NONE,
-        now = own.get(id) ?? NONE;
+    /** The fleet's loads at the time of the query, adjusted by what began or ended here since. */
+    const estimate = (fleet: FleetLoads, id: string): ServerLoad => {
+      const all = fleet.all.get(id) ?? NO_LOAD,
+        ownThen = fleet.own.get(id) ?? NO_LOAD,
+        ownNow = own.get(id) ?? NO_LOAD;
       return {
-        runs: Math.max(0, all.runs + now.runs - was.runs),
-        reads: Math.max(0, all.reads + now.reads - was.reads),
-        tokens: Math.max(0, all.tokens + now.tokens - was.tokens),
+        runs: Math.max(0, all.runs + ownNow.runs - ownThen.runs),
+        reads: Math.max(0, all.reads + ownNow.reads - ownThen.reads),
+        tokens: Math.max(0, all.tokens + ownNow.tokens - ownThen.tokens),
       };
     };
     return {
-      /** Is told of each server at which what this daemon has under way changes. */
-      heed(fn: (id: string) => void): void {
-        heed = fn;
+      /** Registers the listener called for each server at which this daemon's load changes. */
+      subscribe(listener: (id: string) => void): void {
+        notifyChange = listener;
       },
-      snapshot: (): ReadonlyMap<string, Row> => new Map(own),
-      /** What all routers had under way when `own` was what this one had; it counts for a short while. */
-      exact(all: ReadonlyMap<string, Row>, ownThen: ReadonlyMap<string, Row>, at: number): void {
-        exact = { all, own: ownThen, at };
+      snapshot: (): ReadonlyMap<string, ServerLoad> => new Map(own),
+      /**
+       * Sets the loads of all routers as of the moment when `ownThen` was this daemon's own; they count for a short
+       * while.
+       */
+      setFleetLoads(all: ReadonlyMap<string, ServerLoad>, ownThen: ReadonlyMap<string, ServerLoad>, at: number): void {
+        fleetLoads = { all, own: ownThen, at };
       },
-      /** Each gives back what ends it; ending twice counts once. */
+      /**
+       * Adds a run at the server. Returns the function that ends it; calling it twice counts once. The same holds for
+       * `beginRead`.
+       */
       run: (id: string): (() => void) => add(id, { runs: 1, reads: 0, tokens: 0 }),
-      /** A prompt that is read by itself, or at the start of a run. */
+      /** Adds a prompt that is read there, by itself or at the start of a run. */
       read: (id: string, tokens: number): (() => void) => add(id, { runs: 0, reads: 1, tokens }),
-      /** All that this daemon has under way: tokens to be read at prefill servers, those at others, and runs. */
-      total(prefill: (id: string) => boolean): { read: number; beside: number; run: number } {
+      /** This daemon's totals: tokens to be read at prefill servers, tokens to be read at other servers, and runs. */
+      total(isPrefill: (id: string) => boolean): { read: number; beside: number; run: number } {
         const sum = { read: 0, beside: 0, run: 0 };
         for (const [id, r] of own) {
-          if (prefill(id)) sum.read += r.tokens;
+          if (isPrefill(id)) sum.read += r.tokens;
           else sum.beside += r.tokens;
           sum.run += r.runs;
         }
         return sum;
       },
-      mine: (): ReadonlyMap<string, Row> => own,
-      at(id: string): Row {
-        if (exact && mono() - exact.at < EXACT) return since(exact, id);
-        if (added) others = added();
-        added = null;
-        const a = own.get(id) ?? NONE,
-          b = others.get(id) ?? NONE;
+      mine: (): ReadonlyMap<string, ServerLoad> => own,
+      at(id: string): ServerLoad {
+        if (fleetLoads && mono() - fleetLoads.at < FLEET_LOADS_VALID_MS) return estimate(fleetLoads, id);
+        if (gossipSource) gossipedLoads = gossipSource();
+        gossipSource = null;
+        const a = own.get(id) ?? NO_LOAD,
+          b = gossipedLoads.get(id) ?? NO_LOAD;
         return { runs: a.runs + b.runs, reads: a.reads + b.reads, tokens: a.tokens + b.tokens };
       },
-      /** There is news; it is added up when it is next looked at, not before. */
-      heard(next: () => ReadonlyMap<string, Row>): void {
-        added = next;
+      /** Marks that gossip has arrived; it is added up when loads are next read, not before. */
+      heard(next: () => ReadonlyMap<string, ServerLoad>): void {
+        gossipSource = next;
       },
     };
   },
--- a/packages/router/src/servermetrics.ts
+++ b/packages/router/src/servermetrics.ts
@@ -2,11 +2,14 @@
 import type { Server } from './server.js';
 import type { ServerLoads } from './serverloads.js';
 
-type List = { all(): readonly Server[] };
+type ServerSource = { all(): readonly Server[] };
 
-/** What this router believes to be under way at each server: its own requests, and those other routers told of. */
+/**
+ * Metrics of what this router believes to be under way at each server: its own requests, and those that other routers
+ * reported.
+ */
 export const ServerMetrics = {
-  make(list: List, loads: ReturnType<typeof ServerLoads.make>) {
+  make(list: ServerSource, loads: ReturnType<typeof ServerLoads.make>) {
     const gauge = (name: string, help: string, read: (server: Server) => number): MetricFamily => ({
       ...{ name, help, kind: 'gauge' },
       samples: list.all().map((s) => ({
--- a/packages/router/src/serverspeed.ts
+++ b/packages/router/src/serverspeed.ts
@@ -1,30 +1,33 @@
 import type { Clock } from '@pumicebarrow/forms';
 
-type Row = { factor: number; at: number };
-const NEW = 0.15;
-const LEAST = 0.6;
-const MOST = 8;
-/** ms over which what was learnt of a server fades, so that one which was slow is tried again. */
-const FADE = 5000;
-const PLAIN = 2;
+type Slowdown = { factor: number; at: number };
+const SAMPLE_WEIGHT = 0.15;
+const MIN_SAMPLE = 0.6;
+const MAX_SAMPLE = 8;
+/** Time constant in ms of the decay of what was learned, so that a server that was slow is tried again. */
+const DECAY_MS = 5000;
+const NORMAL_SLOWDOWN = 2;
 
 /**
- * How much longer than foreseen each server takes, learnt from what was asked of it. Invariant: without news a server
- * is held to be as fast as any other, again after a while.
+ * Learns the factor by which each server takes longer than expected. Invariant: without new samples a server counts as
+ * fast as any other again after a while.
  */
 export const ServerSpeed = {
   make(clock: Clock) {
-    const rows = new Map<string, Row>();
-    const of = (id: string): number => {
-      const r = rows.get(id);
-      return r ? 1 + (r.factor - 1) * Math.exp(-(clock.mono() - r.at) / FADE) : 1;
+    const rows = new Map<string, Slowdown>();
+    const currentFactor = (id: string): number => {
+      const row = rows.get(id);
+      return row ? 1 + (row.factor - 1) * Math.exp(-(clock.mono() - row.at) / DECAY_MS) : 1;
     };
     return {
-      /** Queues make any server late now and then: only what is clearly slower counts, and by what is beyond that. */
-      of: (id: string): number => Math.max(1, of(id) - (PLAIN - 1)),
-      note(id: string, took: number, foreseen: number): void {
-        const seen = Math.min(MOST, Math.max(LEAST, took / Math.max(1, foreseen)));
-        rows.set(id, { factor: of(id) * (1 - NEW) + seen * NEW, at: clock.mono() });
+      /**
+       * Queues make any server late at times, so only a clear slowdown counts, and only the part beyond
+       * NORMAL_SLOWDOWN.
+       */
+      of: (id: string): number => Math.max(1, currentFactor(id) - (NORMAL_SLOWDOWN - 1)),
+      note(id: string, actualMs: number, expectedMs: number): void {
+        const sample = Math.min(MAX_SAMPLE, Math.max(MIN_SAMPLE, actualMs / Math.max(1, expectedMs)));
+        rows.set(id, { factor: currentFactor(id) * (1 - SAMPLE_WEIGHT) + sample * SAMPLE_WEIGHT, at: clock.mono() });
       },
       only(ids: ReadonlySet<string>): void {
         for (const id of rows.keys()) if (!ids.has(id)) rows.delete(id);
--- a/packages/router/src/sharedsound.ts
+++ b/packages/router/src/sharedsound.ts
@@ -3,7 +3,7 @@
 import { ChangesBody } from './changesbody.js';
 import { ListBody } from './listbody.js';
 
-/** Whether a shared doc is what its name says: the registry's own, the platform's list, and changes of many servers. */
+/** Validates shared records by name: the server list, the batch of stage changes, and the registry's own records. */
 export const SharedSound = {
   doc(d: Doc): boolean {
     if (d.name === 'list') return Check.is(ListBody, d.body);
--- a/packages/router/src/sightings.ts
+++ b/packages/router/src/sightings.ts
@@ -2,34 +2,37 @@
 import type { Holding, Purging } from '@pumicebarrow/purge';
 import type { Sighting } from '@pumicebarrow/registry';
 
-type Tools = { clock: Clock; chance: Chance; shelf: Holding; purge: Pick<Purging, 'publish'>; self: string };
-/** ms for which one word of a server stands for all: about what a suspicion heard of others holds. */
-const ENOUGH = 500;
-const MOST = 4096;
+type Dependencies = { clock: Clock; chance: Chance; shelf: Holding; purge: Pick<Purging, 'publish'>; self: string };
+/**
+ * How long one report of a server, by any router, makes further ones unnecessary: about as long as other routers heed a
+ * report.
+ */
+const REPORT_VALID_MS = 500;
+const MAX_TRACKED_SERVERS = 4096;
 
 /**
- * What routers tell each other of servers that failed. Invariant: of one server this daemon tells nothing while a word
- * of it, by whomever, is younger than ENOUGH; so a server that fails many routers at once makes few slips.
+ * Tells the other routers which servers failed. Invariant: this daemon publishes no report of a server while another
+ * one, by any router, is younger than REPORT_VALID_MS; so a server that fails many routers at once causes few messages.
  */
 export const Sightings = {
-  make(t: Tools) {
-    const lately = Fading.make<true>(t.clock.mono, MOST);
-    const count = { told: 0, spared: 0 };
-    t.shelf.heed((doc) => {
-      if (doc.name.startsWith('sight:')) lately.set((doc.body as Sighting).server, true, ENOUGH);
+  make(deps: Dependencies) {
+    const recentlyReported = Fading.make<true>(deps.clock.mono, MAX_TRACKED_SERVERS);
+    const counts = { published: 0, suppressed: 0 };
+    deps.shelf.heed((doc) => {
+      if (doc.name.startsWith('sight:')) recentlyReported.set((doc.body as Sighting).server, true, REPORT_VALID_MS);
     });
     return {
-      tell(server: string): void {
-        if (lately.get(server)) {
-          count.spared++;
+      report(server: string): void {
+        if (recentlyReported.get(server)) {
+          counts.suppressed++;
           return;
         }
-        count.told++;
+        counts.published++;
         const name = `sight:${server}`;
-        const body: Sighting = { server, born: server, by: t.self };
-        t.purge.publish({ name, mark: [(t.shelf.mark(name)?.[0] ?? 0) + 1, Dice.int(t.chance, 1e6)], body });
+        const body: Sighting = { server, born: server, by: deps.self };
+        deps.purge.publish({ name, mark: [(deps.shelf.mark(name)?.[0] ?? 0) + 1, Dice.int(deps.chance, 1e6)], body });
       },
-      count: () => ({ ...count }),
+      counts: () => ({ ...counts }),
     };
   },
 };
