--- a/packages/router/src/stageduty.ts
+++ b/packages/router/src/stageduty.ts
@@ -7,209 +7,243 @@
 import { Placement } from './placement.js';
 import { StageMix } from './stagemix.js';
 
+/** Totals over all routers: tokens queued at prefill servers, tokens queued at decode servers, and runs. */
 type Load = { read: number; beside: number; run: number };
 type Stage = 'prefill' | 'decode';
-type Tools = {
+type Dependencies = {
   clock: Clock;
   log: Log;
   engine: Engine;
   purge: Purging;
   shelf: Holding;
-  /** The fence under which this daemon has the duty at this instant; null when it hasn't. */
+  /** The fence under which this daemon holds the duty at this instant; null if it does not hold it. */
   fence: () => number | null;
   self: string;
   servers: () => readonly Server[];
   load: () => Load;
-  /** ms that orders of two holders must lie apart. */
+  /** Minimum distance in ms between orders of two successive holders. */
   lease: number;
-  /** ms that a server of a service is away while it changes its stage. */
+  /** Time in ms for which a server of a service is unavailable while it changes its stage. */
   away: (service: string) => number;
 };
-type Change = { server: Server; stage: Stage; at: number; asked: number; many: boolean };
-const LOOK = 400;
-const ASK = 800;
-const PACE = 45;
-const NEW = 0.2;
-/** The sums of a large service vary less, so what they were is forgotten sooner. */
-const SOONER = 0.4;
-/** Prompt tokens that weigh as much at a decode server as a run does, in a large service. */
-const BESIDE = 400;
-/** ms that word of a change of many is given to reach all before the order leaves; one at a time is no matter. */
-const WORD = 1000;
-/** The next change of a service waits until no more than this part of the last is under way. */
-const REST = 0.2;
-const CALM = 6000;
-const AGAIN = 2000;
-const GIVE_UP = 20_000;
-const SPARE = 400;
-/** What a change takes in all, in times of what the server is away for: it is emptied first. */
-const EMPTIED = 2;
+/** `orderedAt` is when the order was last sent, or is to be sent. */
+type Change = { server: Server; stage: Stage; startedAt: number; orderedAt: number; isBatch: boolean };
+const CHECK_INTERVAL_MS = 400;
+const ORDER_TIMEOUT_MS = 800;
+const TOKENS_PER_MS = 45;
+const SAMPLE_WEIGHT = 0.2;
+/** Weight of a new sample in a large service: its sums vary less, so older ones are forgotten sooner. */
+const LARGE_SERVICE_SAMPLE_WEIGHT = 0.4;
+/** Prompt tokens read at a decode server that count as one run, in a large service. */
+const DECODE_READ_TOKENS_PER_RUN = 400;
+/**
+ * Time in ms for the announcement of a batch to reach all routers before the orders leave; a change of one server needs
+ * none.
+ */
+const BATCH_NOTICE_MS = 1000;
+/** The next change of a service waits until at most this fraction of the last batch is unfinished. */
+const MAX_UNFINISHED_FRACTION = 0.2;
+const MIN_CHANGE_INTERVAL_MS = 6000;
+const ORDER_RETRY_MS = 2000;
+/** A change that is not seen after this time is given up. */
+const CHANGE_TIMEOUT_MS = 20_000;
+const LEASE_MARGIN_MS = 400;
+/** Duration of a change as a multiple of the time for which the server is unavailable: it is drained first. */
+const DRAIN_TIME_FACTOR = 2;
 
 /**
- * Which servers of a service read and which decode: looked after by one daemon, under a fence.
- * Invariants: an order leaves only under a fence that is live at that instant, and not before the lease of another
- * holder's last order has surely passed: fences rise by one, so where the one before was ours there was no other; the
- * sheet's row says what was ordered before the order leaves, so no router sends there by the old stage; of many that
- * change together it says so early enough for all to hear it. One change of a service at a time, of one server or of
- * several, but where a stage is bare, or has one server and servers have left since the last was ordered. What another
- * holder began goes on.
+ * Decides which servers of a service prefill and which decode; runs at one daemon at a time, under a fence. Invariants:
+ * an order leaves only under a fence that is valid at that instant, and not before the lease of the last order of
+ * another holder has certainly passed. Fences rise by one, so if the previous fence was ours there was no other holder.
+ * The stage assignment is published before the order leaves, so that no router sends to the server by its old stage; a
+ * batch is announced early enough for all routers to receive it. A service has one change at a time, of one server or
+ * of a batch, unless a stage is empty, or has one server and servers have left since the last order. A batch started by
+ * another holder is continued.
  */
 export const StageDuty = {
-  make(t: Tools) {
-    const mixes = new Map<string, ReturnType<typeof StageMix.make>>();
+  make(deps: Dependencies) {
+    const sizings = new Map<string, ReturnType<typeof StageMix.make>>();
     const changes = new Map<string, Change>();
-    let mean: Load = { read: 0, beside: 0, run: 0 };
-    let held: number | null = null;
-    /** The last fence that was ours. */
-    let ours: number | null = null;
-    let unheard = true;
-    let since = Infinity;
-    let moved = -Infinity;
-    let last = 0;
-    /** How many servers each service had when one of it was last ordered. */
-    const had = new Map<string, number>();
+    let meanLoad: Load = { read: 0, beside: 0, run: 0 };
+    let currentFence: number | null = null;
+    /** The last fence that this daemon held. */
+    let lastOwnFence: number | null = null;
+    let mustInherit = true;
+    let heldSince = Infinity;
+    let lastChangeAt = -Infinity;
+    let lastBatchSize = 0;
+    /** Number of servers of each service when one of them was last ordered to change. */
+    const serversAtLastChange = new Map<string, number>();
     let stop: () => void = () => undefined;
-    const now = (): number => t.clock.mono();
-    const write = (fence: number, s: Server, part: Stage, stage: SheetRow['stage']): void => {
+    const now = (): number => deps.clock.mono();
+    const publishRow = (fence: number, s: Server, part: Stage, stage: SheetRow['stage']): void => {
       const name = `row:${s.id}`;
-      const mark = Order.next(t.shelf.mark(name), fence);
-      if (mark) t.purge.publish({ name, mark, body: { server: s.id, born: s.id, part, stage, by: t.self } });
+      const mark = Order.next(deps.shelf.mark(name), fence);
+      if (mark) deps.purge.publish({ name, mark, body: { server: s.id, born: s.id, part, stage, by: deps.self } });
     };
-    /** Says which servers change together. */
-    const tell = (fence: number): void => {
-      const mark = Order.next(t.shelf.mark('changes'), fence);
-      const rows = [...changes.values()].filter((c) => c.many).map((c) => [c.server.id, c.stage] as const);
-      if (mark) t.purge.publish({ name: 'changes', mark, body: { rows, by: t.self } });
+    /** Publishes which servers change together. */
+    const publishBatch = (fence: number): void => {
+      const mark = Order.next(deps.shelf.mark('changes'), fence);
+      const rows = [...changes.values()].filter((c) => c.isBatch).map((c) => [c.server.id, c.stage] as const);
+      if (mark) deps.purge.publish({ name: 'changes', mark, body: { rows, by: deps.self } });
     };
-    const ask = async (c: Change): Promise<void> => {
-      c.asked = now();
-      const fence = t.fence();
-      if (fence === null || fence !== held) return;
-      const got = await t.engine.order(c.server, { stage: c.stage, holder: t.self, fence }, ASK);
-      t.log.say(`${c.server.id} is ordered to ${c.stage}: ${String(got.val)}.`);
+    const sendOrder = async (change: Change): Promise<void> => {
+      change.orderedAt = now();
+      const fence = deps.fence();
+      if (fence === null || fence !== currentFence) return;
+      const result = await deps.engine.order(
+        change.server,
+        { stage: change.stage, holder: deps.self, fence },
+        ORDER_TIMEOUT_MS,
+      );
+      deps.log.say(`${change.server.id} is ordered to ${change.stage}: ${String(result.val)}.`);
     };
-    const begin = (fence: number, server: Server, stage: Stage): void => {
-      const c = { server, stage, at: now(), asked: now(), many: false };
-      changes.set(server.id, c);
-      // Those that are done are named no longer: one of them may be the server.
-      if (Changing.together(t.shelf).size > 0) tell(fence);
-      write(fence, server, stage, 'draining');
-      void ask(c);
+    const startChange = (fence: number, server: Server, stage: Stage): void => {
+      const change = { server, stage, startedAt: now(), orderedAt: now(), isBatch: false };
+      changes.set(server.id, change);
+      // Removes finished servers from the published batch, since this server may be one of them.
+      if (Changing.batch(deps.shelf).size > 0) publishBatch(fence);
+      publishRow(fence, server, stage, 'draining');
+      void sendOrder(change);
     };
-    const beginMany = (fence: number, some: readonly Server[], stage: Stage): void => {
-      for (const server of some)
-        changes.set(server.id, { server, stage, at: now(), asked: now() - AGAIN + WORD, many: true });
-      tell(fence);
+    const startBatch = (fence: number, batch: readonly Server[], stage: Stage): void => {
+      for (const server of batch)
+        changes.set(server.id, {
+          server,
+          stage,
+          startedAt: now(),
+          orderedAt: now() - ORDER_RETRY_MS + BATCH_NOTICE_MS,
+          isBatch: true,
+        });
+      publishBatch(fence);
     };
-    /** A change of many that the holder before told of goes on, or routers would wait for its end in vain. */
-    const inherit = (all: readonly Server[]): void => {
-      for (const [id, stage] of Changing.together(t.shelf)) {
+    /** Continues a batch announced by the previous holder; otherwise routers would wait for its end in vain. */
+    const inheritBatch = (all: readonly Server[]): void => {
+      for (const [id, stage] of Changing.batch(deps.shelf)) {
         const server = all.find((s) => s.id === id);
-        if (server) changes.set(id, { server, stage, at: now(), asked: now(), many: true });
+        if (server) changes.set(id, { server, stage, startedAt: now(), orderedAt: now(), isBatch: true });
       }
     };
-    /** Those under way: asked again where no word of it is seen, ended once the list shows it. */
-    const follow = (fence: number, all: readonly Server[]): void => {
-      const shown = new Map(all.map((s) => [s.id, s]));
-      let given = false;
-      for (const [id, c] of changes) {
-        const s = shown.get(id);
-        const over = !s || s.state !== 'ready' || s.stage === c.stage || now() - c.at > GIVE_UP;
+    /**
+     * Follows changes under way: repeats an order whose effect is not seen, and ends a change once the list shows it.
+     */
+    const trackChanges = (fence: number, all: readonly Server[]): void => {
+      const serversById = new Map(all.map((s) => [s.id, s]));
+      let gaveUp = false;
+      for (const [id, change] of changes) {
+        const server = serversById.get(id);
+        const over =
+          !server ||
+          server.state !== 'ready' ||
+          server.stage === change.stage ||
+          now() - change.startedAt > CHANGE_TIMEOUT_MS;
         if (over) {
-          if (s?.state === 'ready' && !c.many) write(fence, s, s.stage ?? c.stage, 'serving');
+          if (server?.state === 'ready' && !change.isBatch)
+            publishRow(fence, server, server.stage ?? change.stage, 'serving');
           changes.delete(id);
-          given ||= c.many && s?.state === 'ready' && s.stage !== c.stage;
-        } else if (now() - c.asked > AGAIN) void ask(c);
+          gaveUp ||= change.isBatch && server?.state === 'ready' && server.stage !== change.stage;
+        } else if (now() - change.orderedAt > ORDER_RETRY_MS) void sendOrder(change);
       }
-      // Those that are done stay named until all are: a router may hold the list that doesn't show it yet.
-      const many = [...changes.values()].some((c) => c.many);
-      if (given || (!many && Changing.together(t.shelf).size > 0)) tell(fence);
+      // Finished servers stay in the published batch until all are finished, since a router may hold a list that does
+      // not show their change yet.
+      const batchUnderWay = [...changes.values()].some((c) => c.isBatch);
+      if (gaveUp || (!batchUnderWay && Changing.batch(deps.shelf).size > 0)) publishBatch(fence);
     };
-    /** The one whose zone has the most of its stage; of those, always the same. */
-    const pick = (list: readonly Server[]): Server | undefined => {
+    /** The server whose zone has the most servers of this stage; ties are broken the same way each time. */
+    const pickServer = (list: readonly Server[]): Server | undefined => {
       const zones = new Map<string, number>();
       for (const s of list) zones.set(s.zone, (zones.get(s.zone) ?? 0) + 1);
       return [...list].sort(
         (a, b) => (zones.get(b.zone) ?? 0) - (zones.get(a.zone) ?? 0) || a.warm - b.warm || (a.id < b.id ? -1 : 1),
       )[0];
     };
-    const look = (fence: number, service: string, all: readonly Server[], early: boolean): void => {
-      const mine = all.filter((s) => s.service === service && s.state === 'ready' && s.stage !== null);
-      const part = (s: Server): Stage => changes.get(s.id)?.stage ?? s.stage!;
-      const of = (stage: Stage): Server[] => mine.filter((s) => part(s) === stage);
-      const count = { prefill: of('prefill').length, decode: of('decode').length };
-      const mix = mixes.get(service) ?? StageMix.make();
-      mixes.set(service, mix);
-      // What is read beside runs is, where one server reads, what that one has no time for.
-      const waiting = mean.read + (count.prefill === 1 ? mean.beside : 0);
+    const rebalance = (fence: number, service: string, all: readonly Server[], leasePending: boolean): void => {
+      const members = all.filter((s) => s.service === service && s.state === 'ready' && s.stage !== null);
+      const stageAfterChange = (s: Server): Stage => changes.get(s.id)?.stage ?? s.stage!;
+      const serversOf = (stage: Stage): Server[] => members.filter((s) => stageAfterChange(s) === stage);
+      const count = { prefill: serversOf('prefill').length, decode: serversOf('decode').length };
+      const sizing = sizings.get(service) ?? StageMix.make();
+      sizings.set(service, sizing);
+      // If only one server prefills, what is read at decode servers is what that one has no time for.
+      const waiting = meanLoad.read + (count.prefill === 1 ? meanLoad.beside : 0);
       const load = {
-        read: waiting / PACE / Math.max(1, count.prefill),
-        run: (mean.run + (mine.length < StageMix.LARGE ? 0 : mean.beside / BESIDE)) / Math.max(1, count.decode),
-        room: Math.max(1, ...mine.map((s) => s.slots)) * Placement.FULL,
+        read: waiting / TOKENS_PER_MS / Math.max(1, count.prefill),
+        run:
+          (meanLoad.run +
+            (members.length < StageMix.LARGE_SERVICE_SERVERS ? 0 : meanLoad.beside / DECODE_READ_TOKENS_PER_RUN)) /
+          Math.max(1, count.decode),
+        room: Math.max(1, ...members.map((s) => s.slots)) * Placement.MAX_SLOT_FRACTION,
       };
-      const move = mix.look(load, count, Math.ceil((t.away(service) * EMPTIED) / LOOK));
-      const bare = count.prefill < 1 || count.decode < 1;
-      // Where one server has all of a stage, what was ordered for more servers than are left is no reason to wait.
-      const lone = (move > 0 ? count.prefill : count.decode) === 1;
-      const urgent = bare || (lone && mine.length < (had.get(service) ?? 0));
-      if (move === 0 || early || (!urgent && (changes.size > last * REST || now() - moved < CALM))) return;
+      const move = sizing.look(load, count, Math.ceil((deps.away(service) * DRAIN_TIME_FACTOR) / CHECK_INTERVAL_MS));
+      const stageIsEmpty = count.prefill < 1 || count.decode < 1;
+      // If one server is all of a stage, a change ordered when the service had more servers is no reason to wait.
+      const stageHasOne = (move > 0 ? count.prefill : count.decode) === 1;
+      const urgent = stageIsEmpty || (stageHasOne && members.length < (serversAtLastChange.get(service) ?? 0));
+      if (
+        move === 0 ||
+        leasePending ||
+        (!urgent &&
+          (changes.size > lastBatchSize * MAX_UNFINISHED_FRACTION || now() - lastChangeAt < MIN_CHANGE_INTERVAL_MS))
+      )
+        return;
       const from: Stage = move > 0 ? 'decode' : 'prefill',
         to: Stage = move > 0 ? 'prefill' : 'decode';
-      const some: Server[] = [];
-      while (some.length < Math.abs(move)) {
-        const s = pick(of(from).filter((x) => !changes.has(x.id) && !some.includes(x)));
-        if (!s) break;
-        some.push(s);
+      const chosen: Server[] = [];
+      while (chosen.length < Math.abs(move)) {
+        const next = pickServer(serversOf(from).filter((x) => !changes.has(x.id) && !chosen.includes(x)));
+        if (!next) break;
+        chosen.push(next);
       }
-      if (some.length === 0) return;
-      t.log.say(
+      if (chosen.length === 0) return;
+      deps.log.say(
         `${service}: ${count.prefill} read, ${count.decode} decode; ${Math.round(load.read)} ms wait to be read, ` +
-          `${Math.round(load.run)} run at each, ${Math.round(mean.beside / PACE)} ms wait beside runs; ` +
-          `${some.length} change to ${to}.`,
+          `${Math.round(load.run)} run at each, ${Math.round(meanLoad.beside / TOKENS_PER_MS)} ms wait beside runs; ` +
+          `${chosen.length} change to ${to}.`,
       );
-      mix.reset();
-      had.set(service, mine.length);
-      moved = now();
-      last = some.length > 1 ? some.length : 0;
-      if (some.length > 1) beginMany(fence, some, to);
-      else begin(fence, some[0]!, to);
+      sizing.reset();
+      serversAtLastChange.set(service, members.length);
+      lastChangeAt = now();
+      lastBatchSize = chosen.length > 1 ? chosen.length : 0;
+      if (chosen.length > 1) startBatch(fence, chosen, to);
+      else startChange(fence, chosen[0]!, to);
     };
-    /** Whether no other daemon can have held the duty since we last did. */
-    const follows = (fence: number): boolean => ours !== null && (fence === ours || fence === ours + 1);
+    /** Whether no other daemon can have held the duty since this one last did. */
+    const isContinuous = (fence: number): boolean =>
+      lastOwnFence !== null && (fence === lastOwnFence || fence === lastOwnFence + 1);
     const tick = (): void => {
-      const fence = t.fence();
-      held = fence;
+      const fence = deps.fence();
+      currentFence = fence;
       if (fence === null) return;
-      if (!follows(fence)) {
-        since = now();
+      if (!isContinuous(fence)) {
+        heldSince = now();
         changes.clear();
-        mixes.clear();
-        mean = { read: 0, beside: 0, run: 0 };
-        unheard = true;
+        sizings.clear();
+        meanLoad = { read: 0, beside: 0, run: 0 };
+        mustInherit = true;
       }
-      ours = fence;
-      // What is needed is seen from the start; nothing is ordered before the lease has passed.
-      const early = now() - since < t.lease + SPARE;
-      const load = t.load();
-      const all = t.servers();
-      const part = all.length < StageMix.LARGE ? NEW : SOONER;
-      const blend = (a: number, b: number): number => a * (1 - part) + b * part;
-      mean = {
-        read: blend(mean.read, load.read),
-        beside: blend(mean.beside, load.beside),
-        run: blend(mean.run, load.run),
+      lastOwnFence = fence;
+      // Demand is observed from the start, but nothing is ordered before the lease has passed.
+      const leasePending = now() - heldSince < deps.lease + LEASE_MARGIN_MS;
+      const load = deps.load();
+      const all = deps.servers();
+      const weight = all.length < StageMix.LARGE_SERVICE_SERVERS ? SAMPLE_WEIGHT : LARGE_SERVICE_SAMPLE_WEIGHT;
+      const blend = (a: number, b: number): number => a * (1 - weight) + b * weight;
+      meanLoad = {
+        read: blend(meanLoad.read, load.read),
+        beside: blend(meanLoad.beside, load.beside),
+        run: blend(meanLoad.run, load.run),
       };
-      if (!early && unheard && all.length > 0) {
-        unheard = false;
-        inherit(all);
+      if (!leasePending && mustInherit && all.length > 0) {
+        mustInherit = false;
+        inheritBatch(all);
       }
-      if (!early) follow(fence, all);
+      if (!leasePending) trackChanges(fence, all);
       for (const service of new Set(all.filter((s) => s.stage !== null).map((s) => s.service)))
-        look(fence, service, all, early);
+        rebalance(fence, service, all, leasePending);
     };
     return {
       start(): void {
-        stop = Timer.every(t.clock, LOOK, tick);
+        stop = Timer.every(deps.clock, CHECK_INTERVAL_MS, tick);
       },
       stop: (): void => stop(),
       tick,
--- a/packages/router/src/stagemany.test.ts
+++ b/packages/router/src/stagemany.test.ts
@@ -2,15 +2,15 @@
 import { Changing } from './changing.js';
 import type { Server } from './server.js';
 import { server } from './stand.test.js';
-import { stageStand } from './stagestand.test.js';
+import { makeStageBalancerFixture } from './stagestand.test.js';
 
-describe('the duty of stages in a large service', () => {
+describe('stage balancing in a large service', () => {
   const many = Array.from({ length: 30 }, (_, i) => server(`s${10 + i}`, i < 10 ? 'prefill' : 'decode'));
-  it('changes many together: told in one doc, a second before the orders leave', async () => {
-    const d = stageStand(many);
+  it('changes a batch together, announced in one record a second before the orders leave', async () => {
+    const d = makeStageBalancerFixture(many);
     await d.pass(4000);
     d.state.load = { read: 400_000, beside: 0, run: 60 };
-    const told = () => many.filter((s) => Changing.of(d.shelf, s)).length;
+    const told = () => many.filter((s) => Changing.isChanging(d.shelf, s)).length;
     let at = 0;
     for (; told() === 0 && at < 8000; at += 400) await d.pass(400);
     expect(told()).to.equal(7);
@@ -20,11 +20,11 @@
     expect(d.orders).to.have.length(7);
     expect([...d.shelf.table().keys()].filter((name) => name.startsWith('row:'))).to.deep.equal([]);
   });
-  it('changes no more before most of those are done, and names them until all are', async () => {
-    const d = stageStand(many);
+  it('starts no further change before most of the batch is done, and lists the batch until all are done', async () => {
+    const d = makeStageBalancerFixture(many);
     d.state.load = { read: 400_000, beside: 0, run: 60 };
     await d.pass(10_000);
-    const first = [...Changing.together(d.shelf).keys()];
+    const first = [...Changing.batch(d.shelf).keys()];
     expect(first.length).to.be.within(6, 7);
     const shown = (done: readonly string[]): Server[] =>
       many.map((s) => (done.includes(s.id) ? { ...s, stage: 'prefill' as const } : s));
@@ -32,19 +32,19 @@
     await d.pass(4000);
     d.state.servers = shown(first.slice(0, -1));
     await d.pass(400);
-    expect([...Changing.together(d.shelf).keys()]).to.deep.equal(first);
+    expect([...Changing.batch(d.shelf).keys()]).to.deep.equal(first);
     expect(
-      Changing.of(
+      Changing.isChanging(
         d.shelf,
         many.find((s) => s.id === first[0])!,
       ),
     ).to.equal(true);
     d.state.servers = shown(first);
     await d.pass(800);
-    expect(Changing.together(d.shelf).size).to.equal(0);
+    expect(Changing.batch(d.shelf).size).to.equal(0);
   });
-  it('goes on with the change of many that another holder told of', async () => {
-    const d = stageStand(many);
+  it('continues a batch announced by another holder', async () => {
+    const d = makeStageBalancerFixture(many);
     const rows = [
       ['s20', 'prefill'],
       ['s21', 'prefill'],
--- a/packages/router/src/stagestand.test.ts
+++ b/packages/router/src/stagestand.test.ts
@@ -6,8 +6,10 @@
 import { StageDuty } from './stageduty.js';
 import { testClock, testEngine } from './stand.test.js';
 
-/** A duty of stages beside servers that only take orders; what it ordered, and under which row. */
-export const stageStand = (servers: Server[]) => {
+/**
+ * A stage balancer with servers that only take orders; records its orders and the stage assignment published at each.
+ */
+export const makeStageBalancerFixture = (servers: Server[]) => {
   const time = testClock();
   const orders: string[] = [];
   const shelf = Shelf.make(SharedSound.doc);
--- a/packages/router/src/suspicions.ts
+++ b/packages/router/src/suspicions.ts
@@ -4,27 +4,33 @@
 import type { ServerLoads } from './serverloads.js';
 import type { Sightings } from './sightings.js';
 
-type Tools = {
+type Dependencies = {
   log: Log;
   health: ReturnType<typeof ServerHealth.make>;
   loads: ReturnType<typeof ServerLoads.make>;
   sightings: ReturnType<typeof Sightings.make>;
 };
 
-/** What this router's own requests say against a server, and when the other routers are told of it. */
+/**
+ * Records failures and rejections that this router's own requests met, and decides when to report them to the other
+ * routers.
+ */
 export const Suspicions = {
-  make(t: Tools) {
+  make(deps: Dependencies) {
     return {
-      /** A server failed here: it is told to all, once each time that it begins to, unless they just heard it. */
+      /**
+       * Reports a server that failed here: once each time it becomes suspected, unless the other routers were told just
+       * now.
+       */
       suspect(server: Server, why: string): void {
-        if (!t.health.bad(server.id)) return;
-        t.log.warn(`${server.id} is under suspicion: ${why}.`);
-        t.sightings.tell(server.id);
+        if (!deps.health.bad(server.id)) return;
+        deps.log.warn(`${server.id} is under suspicion: ${why}.`);
+        deps.sightings.report(server.id);
       },
-      /** One that should have room and turns requests away does so to all: it may be changing its stage. */
+      /** A server that should have room and rejects requests does so to all routers: it may be changing its stage. */
       turned(server: Server): void {
-        const hasRoom = t.loads.at(server.id).runs < server.slots / 2;
-        if (t.health.turned(server.id) && hasRoom) t.sightings.tell(server.id);
+        const hasRoom = deps.loads.at(server.id).runs < server.slots / 2;
+        if (deps.health.turned(server.id) && hasRoom) deps.sightings.report(server.id);
       },
     };
   },
--- a/packages/router/src/weighed.ts
+++ b/packages/router/src/weighed.ts
@@ -1,15 +1,18 @@
 import type { Server } from './server.js';
 
-/** How a request fares if it is sent at this instant. */
+/** Expected course of a request if it is sent at this instant. */
 export type Weighed = {
-  /** The prefill server that is to read it first, and how many tokens; null where the run had better read it itself. */
+  /**
+   * The prefill server that should read the prompt, the number of uncached tokens it would read, and whether it is the
+   * home of the prefix; null if the prompt is better read where it is decoded.
+   */
   read: { server: Server; fresh: number; home: boolean } | null;
-  /** ms until its first event, and if nothing else were waiting. */
+  /** Expected time to the first event in ms, and the same if nothing else were queued. */
   ms: number;
   alone: number;
   /**
-   * ms of reading that wait where it would be read, and that it takes there itself, and whether it would be read by a
-   * decode server for want of any other; null where nothing is known.
+   * Where the prompt would be read: ms of reading queued ahead (`waits`), ms of its own reading (`own`), and whether it
+   * would be read at a decode server because no prefill server is left (`beside`); null if nothing is known.
    */
   reading: { waits: number; own: number; beside: boolean } | null;
 };
