--- a/packages/router/src/listwatch.test.ts
+++ b/packages/router/src/listwatch.test.ts
@@ -10,7 +10,7 @@
 describe('a server list fetched from other routers', () => {
   const make = () => {
     const time = testClock(),
-      town = testTown();
+      network = testTown();
     const replies: { rows: number; mark: Mark | null }[] = [];
     const one = (id: string, mark: Mark | null) => {
       const state = { mark };
@@ -19,7 +19,7 @@
         () => 2000,
         () => undefined,
       );
-      const post = town.post(daemon(id));
+      const post = network.post(daemon(id));
       const world = { clock: time.clock, chance: Dice.seeded(1), log: Logs.quiet } as unknown as World;
       const watch = ListWatch.make({
         ...{ world, list, peers: () => [daemon(id === 'r1' ? 'r2' : 'r1')], worry: () => 1000, daemons: () => 9000 },
--- a/packages/router/src/listwatch.ts
+++ b/packages/router/src/listwatch.ts
@@ -33,7 +33,7 @@
  */
 export const ListWatch = {
   make(deps: Dependencies) {
-    const { clock, chance } = deps.world;
+    const { clock, chance: random } = deps.world;
     const counts = { asked: 0, shared: 0 };
     let stop: () => void = () => undefined;
     /** An age reported for a list applies only while the list with that version stamp is still the one held. */
@@ -60,12 +60,12 @@
     };
     const tick = async (): Promise<void> => {
       if (deps.list.age() < deps.worry()) return;
-      const selected = Dice.some(chance, deps.peers(), PEERS_ASKED);
-      const results = await Promise.all(selected.map(fromPeer));
+      const chosen = Dice.some(random, deps.peers(), PEERS_ASKED);
+      const results = await Promise.all(chosen.map(fromPeer));
       if (results.some((g) => g)) counts.shared++;
       if (deps.list.age() < deps.worry()) return;
       const routerCount = deps.daemons() ?? 1;
-      if (routerCount <= MAX_PLATFORM_ASKERS || !deps.list.young() || chance.real() < MAX_PLATFORM_ASKERS / routerCount)
+      if (routerCount <= MAX_PLATFORM_ASKERS || !deps.list.young() || random.real() < MAX_PLATFORM_ASKERS / routerCount)
         await fromPlatform();
     };
     deps.post.on('router.list', Words.ask, (body) => {
--- a/packages/router/src/loadbroker.test.ts
+++ b/packages/router/src/loadbroker.test.ts
@@ -16,7 +16,7 @@
 describe('loads added up by a control replica', () => {
   const make = (routers: number, large = true) => {
     const time = testClock(),
-      town = testTown();
+      network = testTown();
     const members = ['k1', 'k2', 'k3'].map((id) => daemon(id, 'registry'));
     const view: View = { epoch: 1, voters: members, chain: members.map(({ id, born, addr }) => ({ id, born, addr })) };
     const stores = new Map<string, Holding>();
@@ -25,9 +25,9 @@
       stores.set(id, made);
       return made;
     };
-    const aggregators = members.map((who) => LoadTable.make(time.clock, town.post(who), storeOf(who.id)));
+    const aggregators = members.map((who) => LoadTable.make(time.clock, network.post(who), storeOf(who.id)));
     const all = Array.from({ length: routers }, (_, i) => {
-      const post = town.post(daemon(`r${i + 1}`));
+      const post = network.post(daemon(`r${i + 1}`));
       const loads = ServerLoads.make(time.clock.mono),
         counters = OutcomeCounters.make();
       const broker = LoadBroker.make({
@@ -41,7 +41,7 @@
       const body = ListRows.pack(servers.map((id) => server(id, 'prefill')));
       for (const id of who) storeOf(id).offer({ name: 'list', mark: [1, step], body });
     };
-    return { time, town, members, tables: aggregators, all, list: publishList };
+    return { time, town: network, members, tables: aggregators, all, list: publishList };
   };
   it('are known to the router that asks, plus what it began since it asked', async () => {
     const { time, all } = make(2);
@@ -140,20 +140,20 @@
   });
   it('equal the sum of what every router has under way, whatever begins and ends (200 seeds)', async () => {
     for (let seed = 1; seed <= 200; seed++) {
-      const chance = Dice.seeded(seed);
+      const random = Dice.seeded(seed);
       const { time, all } = make(4);
       const open: (() => void)[] = [];
-      const truth = (server: string): number => all.reduce((n, r) => n + (r.loads.mine().get(server)?.tokens ?? 0), 0);
+      const expectedTokens = (server: string): number => all.reduce((n, r) => n + (r.loads.mine().get(server)?.tokens ?? 0), 0);
       for (let step = 0; step < 60; step++) {
-        const r = all[Dice.int(chance, all.length)]!;
-        const server = `p${Dice.int(chance, 5)}`;
-        if (chance.real() < 0.6) open.push(r.loads.read(server, (1 + Dice.int(chance, 50)) * 100));
-        else open.splice(Dice.int(chance, Math.max(1, open.length)), 1)[0]?.();
-        if (chance.real() < 0.3) await time.pass(Dice.int(chance, 200));
+        const r = all[Dice.int(random, all.length)]!;
+        const server = `p${Dice.int(random, 5)}`;
+        if (random.real() < 0.6) open.push(r.loads.read(server, (1 + Dice.int(random, 50)) * 100));
+        else open.splice(Dice.int(random, Math.max(1, open.length)), 1)[0]?.();
+        if (random.real() < 0.3) await time.pass(Dice.int(random, 200));
       }
       await time.pass(50);
       await all[0]!.broker.refresh(RECENT);
-      for (let i = 0; i < 5; i++) expect(all[0]!.loads.at(`p${i}`).tokens, `seed ${seed}`).to.equal(truth(`p${i}`));
+      for (let i = 0; i < 5; i++) expect(all[0]!.loads.at(`p${i}`).tokens, `seed ${seed}`).to.equal(expectedTokens(`p${i}`));
     }
   });
 });
--- a/packages/router/src/loadbroker.ts
+++ b/packages/router/src/loadbroker.ts
@@ -47,7 +47,7 @@
     let backoffUntil = -Infinity;
     let reportScheduled = false;
     let stop: () => void = () => undefined;
-    const selectAggregator = () => {
+    const chooseAggregator = () => {
       const view = deps.view();
       return view && deps.large() ? Lot.first(RENDEZVOUS_KEY, view.chain, (m) => m.id) : undefined;
     };
@@ -57,7 +57,7 @@
     };
     const reportOwnLoads = (): void => {
       reportScheduled = false;
-      const aggregator = selectAggregator();
+      const aggregator = chooseAggregator();
       if (!aggregator) {
         changed.clear();
         return;
@@ -87,7 +87,7 @@
       async refresh(maxAgeMs: number): Promise<void> {
         const now = deps.clock.mono();
         if (now - askedAt < maxAgeMs || now < backoffUntil) return;
-        const aggregator = selectAggregator();
+        const aggregator = chooseAggregator();
         if (!aggregator) return;
         reportOwnLoads();
         const ownBefore = deps.loads.snapshot();
--- a/packages/router/src/loadnews.test.ts
+++ b/packages/router/src/loadnews.test.ts
@@ -7,27 +7,27 @@
 describe('load gossip', () => {
   const make = (routers: number) => {
     const time = testClock(),
-      town = testTown();
+      network = testTown();
     const ids = ['r1', 'r2', 'r3'].map((id) => daemon(id));
     const all = ids.map((who) => {
       const loads = ServerLoads.make();
       const news = LoadNews.make({
-        ...{ clock: time.clock, post: town.post(who), loads, routers: () => routers },
+        ...{ clock: time.clock, post: network.post(who), loads, routers: () => routers },
         peers: () => ids.filter((p) => p.id !== who.id),
       });
       return { loads, news };
     });
-    return { time, town, all };
+    return { time, network, all };
   };
   it('is sent when something changed, and counts at the receivers', async () => {
-    const { time, town, all } = make(3);
+    const { time, network, all } = make(3);
     const end = all[0]!.loads.read('p1', 5000);
     for (const a of all) a.news.tick();
     await time.pass(1);
     expect(all[1]!.loads.at('p1').tokens).to.equal(5000);
-    const sent = town.asked.length;
+    const sent = network.asked.length;
     all[0]!.news.tick();
-    expect(town.asked.length).to.equal(sent);
+    expect(network.asked.length).to.equal(sent);
     end();
     await time.pass(40);
     all[0]!.news.tick();
@@ -45,13 +45,13 @@
   });
   it('is sent less often the larger the fleet', async () => {
     const sent = [10, 100].map(async (routers) => {
-      const { time, town, all } = make(routers);
+      const { time, network, all } = make(routers);
       for (let ms = 0; ms < 4000; ms += 40) {
         all[0]!.loads.read('p1', ms + 100);
         all[0]!.news.tick();
         await time.pass(40);
       }
-      return town.asked.length;
+      return network.asked.length;
     });
     const [small, large] = await Promise.all(sent);
     expect(small).to.be.greaterThan(190);
--- a/packages/router/src/loadnews.ts
+++ b/packages/router/src/loadnews.ts
@@ -41,7 +41,7 @@
     let lastSentText = '';
     let lastSentAt = -Infinity;
     let stop: () => void = () => undefined;
-    const counts = { sent: 0, heard: 0 };
+    const counts = { sent: 0, received: 0 };
     const estimateOtherLoads = (): ReadonlyMap<string, ServerLoad> => {
       const reports = received.all();
       const others = Math.max(0, (deps.routers() ?? reports.length + 1) - 1);
@@ -61,7 +61,7 @@
       return totals;
     };
     deps.post.heed('router.loads', Words.loads, (body, from) => {
-      counts.heard++;
+      counts.received++;
       received.set(
         from.id,
         new Map(body.rows.map(([id, runs, reads, tokens]) => [id, { runs, reads, tokens: tokens * 100 }])),
--- a/packages/router/src/loadshedder.ts
+++ b/packages/router/src/loadshedder.ts
@@ -25,7 +25,7 @@
  * nothing is rejected while hardly anything waits.
  */
 export const LoadShedder = {
-  make(clock: Clock, chance: Chance) {
+  make(clock: Clock, random: Chance) {
     let probability = 0;
     /** The shortest wait seen since the last update, and the shortest one of the interval before. */
     let minWaitMs = Infinity;
@@ -48,7 +48,7 @@
       sheds(waitMs: number): boolean {
         minWaitMs = Math.min(minWaitMs, waitMs);
         update();
-        return waitMs > TARGET_WAIT_MS / 2 && chance.real() < probability;
+        return waitMs > TARGET_WAIT_MS / 2 && random.real() < probability;
       },
       /** Whether some requests are being rejected. */
       active: (): boolean => probability > 0,
--- a/packages/router/src/placement.test.ts
+++ b/packages/router/src/placement.test.ts
@@ -25,8 +25,8 @@
     list.take(all, time.clock.mono(), 'shared');
     const loads = ServerLoads.make(),
       health = ServerHealth.make(time.clock);
-    const changed = new Set<string>();
-    const linked = new Set<string>();
+    const reassigned = new Set<string>();
+    const connected = new Set<string>();
     const slow = new Map<string, number>();
     const wait = { ms: 0 };
     const place = Placement.make({
@@ -34,13 +34,13 @@
       ...{
         pace: () => 40,
         speed: (id: string) => slow.get(id) ?? 1,
-        changing: () => (s: { id: string }) => changed.has(s.id),
-        linked: (s: { id: string }) => linked.has(s.id),
+        changing: () => (s: { id: string }) => reassigned.has(s.id),
+        linked: (s: { id: string }) => connected.has(s.id),
         wait: () => wait.ms,
       },
     });
     const { services, routes } = routing();
-    return { time, list, loads, health, place, changed, linked, slow, wait, service: services[0]!, route: routes[0]! };
+    return { time, list, loads, health, place, changed: reassigned, linked: connected, slow, wait, service: services[0]!, route: routes[0]! };
   };
   const none = new Set<string>();
   it('prefers a decode server with an open connection if it is hardly busier or farther away', () => {
--- a/packages/router/src/serverhealth.test.ts
+++ b/packages/router/src/serverhealth.test.ts
@@ -25,32 +25,32 @@
   it('avoids a server that fails intermittently for longer each time', async () => {
     const time = testClock();
     const h = ServerHealth.make(time.clock);
-    const shutFor: number[] = [];
+    const closedFor: number[] = [];
     for (let i = 0; i < 4; i++) {
       h.bad('s');
       let ms = 0;
       for (; !h.isOpen('s'); ms += 100) await time.pass(100);
-      shutFor.push(ms);
+      closedFor.push(ms);
       h.begin('s');
       h.good('s');
     }
-    expect(shutFor[3]).to.be.greaterThan(3 * shutFor[0]!);
+    expect(closedFor[3]).to.be.greaterThan(3 * closedFor[0]!);
   });
   it('avoids a server that rejects requests for a moment, longer while it goes on', async () => {
     const time = testClock();
     const h = ServerHealth.make(time.clock);
-    const turnedFor = async (): Promise<number> => {
+    const pausedFor = async (): Promise<number> => {
       expect(h.turned('s')).to.equal(true);
       expect(h.turned('s')).to.equal(false);
       let ms = 0;
       for (; !h.isOpen('s'); ms += 50) await time.pass(50);
       return ms;
     };
-    expect([await turnedFor(), await turnedFor(), await turnedFor(), await turnedFor()]).to.deep.equal([
+    expect([await pausedFor(), await pausedFor(), await pausedFor(), await pausedFor()]).to.deep.equal([
       250, 500, 1000, 1000,
     ]);
     h.good('s');
-    expect(await turnedFor()).to.equal(250);
+    expect(await pausedFor()).to.equal(250);
     h.bad('s');
     expect(h.bad('s')).to.equal(false);
   });
@@ -91,19 +91,19 @@
   });
   it('avoids a server for longer on reports of several routers, and spreads the return of the daemons', async () => {
     const time = testClock();
-    const shutFor = async (words: readonly string[], chance: number): Promise<number> => {
+    const closedFor = async (words: readonly string[], random: number): Promise<number> => {
       const h = ServerHealth.make(time.clock);
-      for (const by of words) h.hint('s', by, chance);
+      for (const by of words) h.hint('s', by, random);
       let ms = 0;
       for (; !h.isOpen('s'); ms += 50) await time.pass(50);
       return ms;
     };
-    expect(await shutFor(['a'], 0)).to.equal(350);
-    expect(await shutFor(['a'], 1)).to.equal(350);
-    expect(await shutFor(['a', 'a', 'a', 'a'], 1)).to.equal(350);
-    expect(await shutFor(['a', 'b'], 0)).to.equal(700);
-    expect(await shutFor(['a', 'b'], 1)).to.equal(2800);
-    expect(await shutFor(['a', 'b', 'c', 'd', 'e', 'f', 'g'], 1)).to.equal(5600);
+    expect(await closedFor(['a'], 0)).to.equal(350);
+    expect(await closedFor(['a'], 1)).to.equal(350);
+    expect(await closedFor(['a', 'a', 'a', 'a'], 1)).to.equal(350);
+    expect(await closedFor(['a', 'b'], 0)).to.equal(700);
+    expect(await closedFor(['a', 'b'], 1)).to.equal(2800);
+    expect(await closedFor(['a', 'b', 'c', 'd', 'e', 'f', 'g'], 1)).to.equal(5600);
     const h = ServerHealth.make(time.clock);
     h.hint('s', 'a');
     h.hint('s', 'b');
--- a/packages/router/src/sightings.test.ts
+++ b/packages/router/src/sightings.test.ts
@@ -8,31 +8,31 @@
 describe('reports of failed servers', () => {
   const make = () => {
     const time = testClock();
-    const shelf = Shelf.make(SharedSound.doc);
-    const told: string[] = [];
+    const store = Shelf.make(SharedSound.doc);
+    const published: string[] = [];
     const publish = (d: Doc): boolean => {
-      told.push(d.name);
-      return shelf.offer(d);
+      published.push(d.name);
+      return store.offer(d);
     };
-    const tools = { clock: time.clock, chance: Dice.seeded(1), shelf, purge: { publish }, self: 'me' };
-    return { time, shelf, told, sightings: Sightings.make(tools) };
+    const tools = { clock: time.clock, chance: Dice.seeded(1), shelf: store, purge: { publish }, self: 'me' };
+    return { time, store, published, sightings: Sightings.make(tools) };
   };
   it('are sent once, and again only after the last one expired', async () => {
-    const { time, told, sightings } = make();
+    const { time, published, sightings } = make();
     for (const id of ['a', 'b', 'a']) sightings.report(id);
-    expect(told).to.deep.equal(['sight:a', 'sight:b']);
+    expect(published).to.deep.equal(['sight:a', 'sight:b']);
     await time.pass(600);
     sightings.report('a');
-    expect(told.length).to.equal(3);
+    expect(published.length).to.equal(3);
   });
   it('are not sent if another router has just sent one', async () => {
-    const { time, shelf, told, sightings } = make();
+    const { time, store, published, sightings } = make();
     const body = { server: 'a', born: 'a', by: 'other' };
-    shelf.offer({ name: 'sight:a', mark: [4, 1], body });
+    store.offer({ name: 'sight:a', mark: [4, 1], body });
     sightings.report('a');
-    expect(told).to.deep.equal([]);
+    expect(published).to.deep.equal([]);
     await time.pass(600);
     sightings.report('a');
-    expect(shelf.mark('sight:a')?.[0]).to.equal(5);
+    expect(store.mark('sight:a')?.[0]).to.equal(5);
   });
 });
--- a/packages/router/src/stagemany.test.ts
+++ b/packages/router/src/stagemany.test.ts
@@ -10,21 +10,21 @@
     const d = makeStageBalancerFixture(many);
     await d.pass(4000);
     d.state.load = { read: 400_000, beside: 0, run: 60 };
-    const told = () => many.filter((s) => Changing.isChanging(d.shelf, s)).length;
+    const announcedCount = () => many.filter((s) => Changing.isChanging(d.store, s)).length;
     let at = 0;
-    for (; told() === 0 && at < 8000; at += 400) await d.pass(400);
-    expect(told()).to.equal(7);
+    for (; announcedCount() === 0 && at < 8000; at += 400) await d.pass(400);
+    expect(announcedCount()).to.equal(7);
     await d.pass(400);
     expect(d.orders).to.have.length(0);
     await d.pass(1200);
     expect(d.orders).to.have.length(7);
-    expect([...d.shelf.table().keys()].filter((name) => name.startsWith('row:'))).to.deep.equal([]);
+    expect([...d.store.table().keys()].filter((name) => name.startsWith('row:'))).to.deep.equal([]);
   });
   it('starts no further change before most of the batch is done, and lists the batch until all are done', async () => {
     const d = makeStageBalancerFixture(many);
     d.state.load = { read: 400_000, beside: 0, run: 60 };
     await d.pass(10_000);
-    const first = [...Changing.batch(d.shelf).keys()];
+    const first = [...Changing.batch(d.store).keys()];
     expect(first.length).to.be.within(6, 7);
     const shown = (done: readonly string[]): Server[] =>
       many.map((s) => (done.includes(s.id) ? { ...s, stage: 'prefill' as const } : s));
@@ -32,16 +32,16 @@
     await d.pass(4000);
     d.state.servers = shown(first.slice(0, -1));
     await d.pass(400);
-    expect([...Changing.batch(d.shelf).keys()]).to.deep.equal(first);
+    expect([...Changing.batch(d.store).keys()]).to.deep.equal(first);
     expect(
       Changing.isChanging(
-        d.shelf,
+        d.store,
         many.find((s) => s.id === first[0])!,
       ),
     ).to.equal(true);
     d.state.servers = shown(first);
     await d.pass(800);
-    expect(Changing.batch(d.shelf).size).to.equal(0);
+    expect(Changing.batch(d.store).size).to.equal(0);
   });
   it('continues a batch announced by another holder', async () => {
     const d = makeStageBalancerFixture(many);
@@ -49,7 +49,7 @@
       ['s20', 'prefill'],
       ['s21', 'prefill'],
     ];
-    d.shelf.offer({ name: 'changes', mark: [3, 0], body: { rows, by: 'k0' } });
+    d.store.offer({ name: 'changes', mark: [3, 0], body: { rows, by: 'k0' } });
     await d.pass(3200);
     expect(d.orders).to.deep.equal([]);
     await d.pass(4000);
--- a/packages/router/src/stages.test.ts
+++ b/packages/router/src/stages.test.ts
@@ -125,8 +125,8 @@
     d.state.servers = [{ ...bare[0]!, stage: 'prefill' }, ...bare.slice(1)];
     await d.pass(800);
     expect(d.orders).to.have.length(1);
-    expect(d.shelf.get('row:d1')?.body).to.include({ part: 'prefill', stage: 'serving' });
-    expect(d.shelf.mark('row:d1')?.[0]).to.equal(5);
+    expect(d.store.get('row:d1')?.body).to.include({ part: 'prefill', stage: 'serving' });
+    expect(d.store.mark('row:d1')?.[0]).to.equal(5);
   });
   it('repeats an order under the next fence, and begins no other change', async () => {
     const d = makeStageBalancerFixture(bare);
@@ -146,8 +146,8 @@
     const d = makeStageBalancerFixture(bare);
     await d.pass(4400);
     expect(d.orders).to.deep.equal(['d1 prefill 4 prefill draining']);
-    expect(Changing.isChanging(d.shelf, bare[0]!)).to.equal(true);
-    expect(Changing.isChanging(d.shelf, bare[1]!)).to.equal(false);
+    expect(Changing.isChanging(d.store, bare[0]!)).to.equal(true);
+    expect(Changing.isChanging(d.store, bare[1]!)).to.equal(false);
   });
   it('repeats an order whose effect is not seen, and ends the change once the list shows it', async () => {
     const d = makeStageBalancerFixture(bare);
@@ -158,7 +158,7 @@
     d.state.servers = [{ ...first!, stage: 'prefill' }, ...rest];
     await d.pass(6800);
     expect(d.orders).to.have.length(2);
-    expect(Changing.isChanging(d.shelf, d.state.servers[0]!)).to.equal(false);
+    expect(Changing.isChanging(d.store, d.state.servers[0]!)).to.equal(false);
   });
   it('treats a demand as lasting once it has been seen for as long as the change would take', async () => {
     const d = makeStageBalancerFixture(
@@ -220,7 +220,7 @@
     await d.pass(4400);
     d.state.fence = null;
     await d.pass(400);
-    expect(Changing.isChanging(d.shelf, bare[0]!)).to.equal(true);
+    expect(Changing.isChanging(d.store, bare[0]!)).to.equal(true);
     d.state.fence = 6;
     d.state.servers = bare.map((s) => ({ ...s }));
     await d.pass(30_000);
--- a/packages/router/src/stagestand.test.ts
+++ b/packages/router/src/stagestand.test.ts
@@ -12,7 +12,7 @@
 export const makeStageBalancerFixture = (servers: Server[]) => {
   const time = testClock();
   const orders: string[] = [];
-  const shelf = Shelf.make(SharedSound.doc);
+  const store = Shelf.make(SharedSound.doc);
   const state = {
     fence: 4 as number | null,
     servers,
@@ -23,14 +23,14 @@
   const engine: Engine = {
     ...testEngine([], []),
     order(s, o) {
-      const row = shelf.get(`row:${s.id}`)?.body as { part: string; stage: string } | undefined;
+      const row = store.get(`row:${s.id}`)?.body as { part: string; stage: string } | undefined;
       orders.push(`${s.id} ${o.stage} ${o.fence} ${row?.part ?? 'no row'} ${row?.stage ?? ''}`);
       return Promise.resolve(state.reply === 'taken' ? Ok('taken' as const) : Err('lost' as const));
     },
   };
-  const purge = { publish: (d: Doc) => shelf.offer(d) } as unknown as Purging;
+  const purge = { publish: (d: Doc) => store.offer(d) } as unknown as Purging;
   const duty = StageDuty.make({
-    ...{ clock: time.clock, log: Logs.quiet(), engine, purge, shelf, self: 'k1', lease: 3000 },
+    ...{ clock: time.clock, log: Logs.quiet(), engine, purge, shelf: store, self: 'k1', lease: 3000 },
     ...{ fence: () => state.fence, servers: () => state.servers, load: () => state.load },
     away: () => state.away,
   });
@@ -40,5 +40,5 @@
       await time.pass(400);
     }
   };
-  return { state, orders, shelf, pass };
+  return { state, orders, store, pass };
 };
