--- a/packages/router/src/keptparts.ts
+++ b/packages/router/src/keptparts.ts
@@ -17,14 +17,14 @@
     prefixes.totalTokens -= evictedTokens;
   }
 };
-const prefixesByParts = new WeakMap<Prompt['parts'], { model: string; links: readonly Prefix[] }>();
+const prefixesByParts = new WeakMap<Prompt['parts'], { model: string; prefixes: readonly Prefix[] }>();
 /**
  * The prefixes of a prompt, shortest first, computed once per prompt. A part is cacheable only after all parts before
  * it, so a prefix key names the model and all parts up to its end.
  */
 const prefixesOf = (prompt: Prompt): readonly Prefix[] => {
   const cached = prefixesByParts.get(prompt.parts);
-  if (cached?.model === prompt.model) return cached.links;
+  if (cached?.model === prompt.model) return cached.prefixes;
   let key = prompt.model;
   let tokens = 0;
   const prefixes = prompt.parts.map((part) => {
@@ -32,7 +32,7 @@
     tokens += part.tokens;
     return { key, tokens };
   });
-  prefixesByParts.set(prompt.parts, { model: prompt.model, links: prefixes });
+  prefixesByParts.set(prompt.parts, { model: prompt.model, prefixes });
   return prefixes;
 };
 
@@ -42,7 +42,7 @@
  * of entries; the least recently used prefix is dropped first, as at the server.
  */
 export const KeptParts = {
-  prefixesOf: prefixesOf,
+  prefixesOf,
   /** Key of the prefix that requests share: all parts but the last. */
   sharedPrefixKey: (p: Prompt): string => prefixesOf(p).at(-2)?.key ?? p.model,
   make(memoryTokens: () => number) {
--- a/packages/router/src/loadbroker.test.ts
+++ b/packages/router/src/loadbroker.test.ts
@@ -143,7 +143,8 @@
       const random = Dice.seeded(seed);
       const { time, all } = make(4);
       const open: (() => void)[] = [];
-      const expectedTokens = (server: string): number => all.reduce((n, r) => n + (r.loads.mine().get(server)?.tokens ?? 0), 0);
+      const expectedTokens = (server: string): number =>
+        all.reduce((n, r) => n + (r.loads.mine().get(server)?.tokens ?? 0), 0);
       for (let step = 0; step < 60; step++) {
         const r = all[Dice.int(random, all.length)]!;
         const server = `p${Dice.int(random, 5)}`;
@@ -153,7 +154,8 @@
       }
       await time.pass(50);
       await all[0]!.broker.refresh(RECENT);
-      for (let i = 0; i < 5; i++) expect(all[0]!.loads.at(`p${i}`).tokens, `seed ${seed}`).to.equal(expectedTokens(`p${i}`));
+      for (let i = 0; i < 5; i++)
+        expect(all[0]!.loads.at(`p${i}`).tokens, `seed ${seed}`).to.equal(expectedTokens(`p${i}`));
     }
   });
 });
--- a/packages/router/src/placement.test.ts
+++ b/packages/router/src/placement.test.ts
@@ -40,7 +40,19 @@
       },
     });
     const { services, routes } = routing();
-    return { time, list, loads, health, place, changed: reassigned, linked: connected, slow, wait, service: services[0]!, route: routes[0]! };
+    return {
+      time,
+      list,
+      loads,
+      health,
+      place,
+      changed: reassigned,
+      linked: connected,
+      slow,
+      wait,
+      service: services[0]!,
+      route: routes[0]!,
+    };
   };
   const none = new Set<string>();
   it('prefers a decode server with an open connection if it is hardly busier or farther away', () => {
--- a/packages/router/src/placement.ts
+++ b/packages/router/src/placement.ts
@@ -43,7 +43,7 @@
 /** From this many runs on, a decode server reads no prompts: each chunk it reads delays all of them. */
 const NO_READS_FROM_RUNS = 20;
 /** Fraction of a server's slots that runs may take; beyond it all runs become too slow. */
-const MAX_SLOT_FRACTION = 0.7;
+const SLOT_FRACTION = 0.7;
 /** Requests with less output than this hardly occupy a slot. */
 const BRIEF_OUTPUT_TOKENS = 200;
 /**
@@ -80,7 +80,7 @@
  * the home would put its latency target at risk.
  */
 export const Placement = {
-  MAX_SLOT_FRACTION: MAX_SLOT_FRACTION,
+  SLOT_FRACTION,
   make(deps: Dependencies) {
     const candidates = (service: Service, stage: Server['stage'], excluded: ReadonlySet<string>): Server[] => {
       const changing = deps.changing();
@@ -103,7 +103,7 @@
       let best: Choice | null = null;
       for (const server of list) {
         const ms = cost(server) + deps.chance.real() * 0.01;
-        if (!best || ms < best.ms) best = { server: server, ms };
+        if (!best || ms < best.ms) best = { server, ms };
       }
       return best;
     };
@@ -169,7 +169,7 @@
         if (!service.engine || !prompt || prompt.most < BRIEF_OUTPUT_TOKENS) return true;
         const list = candidates(service, 'decode', NO_EXCLUSIONS);
         const slots = service.engine.slots;
-        return list.length === 0 || list.some((s) => deps.loads.at(s.id).runs < (s.slots || slots) * MAX_SLOT_FRACTION);
+        return list.length === 0 || list.some((s) => deps.loads.at(s.id).runs < (s.slots || slots) * SLOT_FRACTION);
       },
       /**
        * Estimates where the prompt should be read first and when the first event would come, both from the same state.
--- a/packages/router/src/reader.ts
+++ b/packages/router/src/reader.ts
@@ -7,7 +7,7 @@
 import type { ServeTools } from './servetools.js';
 import { Urgency } from './urgency.js';
 
-/** A read may take this much longer than expected, in ms, plus this many times the expected time. */
+/** Timeout of a read: this margin plus this multiple of the expected time. */
 const TIMEOUT_MARGIN_MS = 1500;
 const TIMEOUT_FACTOR = 3;
 /** A server from which something was received more recently than this is busy, not gone. */
--- a/packages/router/src/server.ts
+++ b/packages/router/src/server.ts
@@ -13,7 +13,7 @@
     state: Type.Union([Type.Literal('ready'), Type.Literal('draining')]),
     stage: Type.Union([Type.Literal('prefill'), Type.Literal('decode'), Type.Null()]),
     slots: Type.Integer({ minimum: 0 }),
-    warm: Type.Number({ minimum: 0, description: 'ms from when the list was asked for, for which it stays slow' }),
+    warm: Type.Number({ minimum: 0, description: 'remaining warm-up in ms, from when the list was requested' }),
   },
   { additionalProperties: false },
 );
--- a/packages/router/src/serverhealth.ts
+++ b/packages/router/src/serverhealth.ts
@@ -53,9 +53,9 @@
     const rows = new Map<string, Health>();
     let trials = 0;
     const healthOf = (id: string): Health => {
-      const old = rows.get(id);
-      if (old) return old;
-      const next = {
+      const existing = rows.get(id);
+      if (existing) return existing;
+      const created = {
         ...{
           lastActivity: -Infinity,
           failureLevel: 0,
@@ -68,8 +68,8 @@
         ...{ handleLosses: 0, lastHandleLossAt: -Infinity },
         peerReport: { until: -Infinity, weight: 0, at: -Infinity, by: '' },
       };
-      rows.set(id, next);
-      return next;
+      rows.set(id, created);
+      return created;
     };
     return {
       /** Any byte was received from the server. */
@@ -139,7 +139,7 @@
        * `random` spreads the times at which daemons return.
        */
       hint(id: string, by = '', random = 0): void {
-        const { peerReport: peerReport } = healthOf(id),
+        const { peerReport } = healthOf(id),
           now = clock.mono();
         const remaining = peerReport.weight * Math.exp(-(now - peerReport.at) / PEER_REPORT_DECAY_MS);
         peerReport.weight = Math.min(
--- a/packages/router/src/serverlist.ts
+++ b/packages/router/src/serverlist.ts
@@ -15,7 +15,7 @@
  * makes it too old.
  */
 export const ServerList = {
-  make(clock: Clock, maxAgeMs: () => number, detectSleep: () => void) {
+  make(clock: Clock, maxAgeMs: () => number, detectSuspension: () => void) {
     let held = EMPTY_TABLE;
     let knownAt = -Infinity;
     let invalidatedAt = -Infinity;
@@ -23,7 +23,7 @@
     const listeners: ChangeListener[] = [];
     const ageMs = (): number => clock.mono() - knownAt;
     const isFresh = (): boolean => {
-      detectSleep();
+      detectSuspension();
       return ageMs() < maxAgeMs();
     };
     const setServers = (servers: readonly Server[]): void => {
@@ -38,7 +38,7 @@
        * Replaces the list by a whole one that was asked for at `at`, by any daemon; false if the list held is newer.
        */
       take(servers: readonly Server[], at: number, newSource: 'shared' | 'asked'): boolean {
-        detectSleep();
+        detectSuspension();
         if (at <= knownAt || at < invalidatedAt) return false;
         knownAt = at;
         source = newSource;
@@ -54,7 +54,7 @@
       },
       /** Records that the list held was still the newest at `at`; false if it is not the shared list. */
       confirm(at: number): boolean {
-        detectSleep();
+        detectSuspension();
         if (source === 'shared' && at > knownAt && at >= invalidatedAt) knownAt = at;
         return source === 'shared';
       },
--- a/packages/router/src/servermetrics.ts
+++ b/packages/router/src/servermetrics.ts
@@ -19,16 +19,16 @@
     });
     return {
       families: (): MetricFamily[] => [
-        gauge('server_prompt_tokens', 'prompt tokens that wait to be read', (s) => loads.at(s.id).tokens),
-        gauge('server_prefills', 'prompts that wait to be read', (s) => loads.at(s.id).reads),
-        gauge('server_runs', 'requests that run', (s) => loads.at(s.id).runs),
+        gauge('server_prompt_tokens', 'prompt tokens queued to be read', (s) => loads.at(s.id).tokens),
+        gauge('server_prefills', 'prompts queued to be read', (s) => loads.at(s.id).reads),
+        gauge('server_runs', 'running requests', (s) => loads.at(s.id).runs),
       ],
       text: (): string =>
         list
           .all()
           .map((s) => {
             const { tokens, runs } = loads.at(s.id);
-            return `${s.id} ${s.stage ?? ''} ${s.state}: ${Math.round(tokens)} tokens wait, ${Math.round(runs)} run.`;
+            return `${s.id} ${s.stage ?? ''} ${s.state}: ${Math.round(tokens)} tokens wait, ${Math.round(runs)} runs.`;
           })
           .join(' '),
     };
--- a/packages/router/src/stageduty.ts
+++ b/packages/router/src/stageduty.ts
@@ -21,7 +21,7 @@
   self: string;
   servers: () => readonly Server[];
   load: () => Load;
-  /** Minimum distance in ms between orders of two successive holders. */
+  /** Minimum time in ms between orders of two successive holders. */
   lease: number;
   /** Time in ms for which a server of a service is unavailable while it changes its stage. */
   away: (service: string) => number;
@@ -36,14 +36,11 @@
 const LARGE_SERVICE_SAMPLE_WEIGHT = 0.4;
 /** Prompt tokens read at a decode server that count as one run, in a large service. */
 const DECODE_READ_TOKENS_PER_RUN = 400;
-/**
- * Time in ms for the announcement of a batch to reach all routers before the orders leave; a change of one server needs
- * none.
- */
+/** Time for a batch announcement to reach all routers before the orders leave; a single change needs none. */
 const BATCH_NOTICE_MS = 1000;
 /** The next change of a service waits until at most this fraction of the last batch is unfinished. */
-const MAX_UNFINISHED_FRACTION = 0.2;
-const MIN_CHANGE_INTERVAL_MS = 6000;
+const UNFINISHED_FRACTION = 0.2;
+const CHANGE_INTERVAL_MS = 6000;
 const ORDER_RETRY_MS = 2000;
 /** A change that is not seen after this time is given up. */
 const CHANGE_TIMEOUT_MS = 20_000;
@@ -76,10 +73,11 @@
     const serversAtLastChange = new Map<string, number>();
     let stop: () => void = () => undefined;
     const now = (): number => deps.clock.mono();
-    const publishRow = (fence: number, s: Server, part: Stage, stage: SheetRow['stage']): void => {
-      const name = `row:${s.id}`;
+    const publishRow = (fence: number, server: Server, part: Stage, stage: SheetRow['stage']): void => {
+      const name = `row:${server.id}`;
       const mark = Order.next(deps.shelf.mark(name), fence);
-      if (mark) deps.purge.publish({ name, mark, body: { server: s.id, born: s.id, part, stage, by: deps.self } });
+      if (mark)
+        deps.purge.publish({ name, mark, body: { server: server.id, born: server.id, part, stage, by: deps.self } });
     };
     /** Publishes which servers change together. */
     const publishBatch = (fence: number): void => {
@@ -96,7 +94,7 @@
         { stage: change.stage, holder: deps.self, fence },
         ORDER_TIMEOUT_MS,
       );
-      deps.log.say(`${change.server.id} is ordered to ${change.stage}: ${String(result.val)}.`);
+      deps.log.say(`Ordered ${change.server.id} to change to ${change.stage}: ${String(result.val)}.`);
     };
     const startChange = (fence: number, server: Server, stage: Stage): void => {
       const change = { server, stage, startedAt: now(), orderedAt: now(), isBatch: false };
@@ -124,9 +122,7 @@
         if (server) changes.set(id, { server, stage, startedAt: now(), orderedAt: now(), isBatch: true });
       }
     };
-    /**
-     * Follows changes under way: repeats an order whose effect is not seen, and ends a change once the list shows it.
-     */
+    /** Repeats orders whose effect is not seen, and ends a change once the list shows it. */
     const trackChanges = (fence: number, all: readonly Server[]): void => {
       const serversById = new Map(all.map((s) => [s.id, s]));
       let gaveUp = false;
@@ -172,7 +168,7 @@
           (meanLoad.run +
             (members.length < StageMix.LARGE_SERVICE_SERVERS ? 0 : meanLoad.beside / DECODE_READ_TOKENS_PER_RUN)) /
           Math.max(1, count.decode),
-        room: Math.max(1, ...members.map((s) => s.slots)) * Placement.MAX_SLOT_FRACTION,
+        room: Math.max(1, ...members.map((s) => s.slots)) * Placement.SLOT_FRACTION,
       };
       const move = sizing.look(load, count, Math.ceil((deps.away(service) * DRAIN_TIME_FACTOR) / CHECK_INTERVAL_MS));
       const stageIsEmpty = count.prefill < 1 || count.decode < 1;
@@ -182,8 +178,7 @@
       if (
         move === 0 ||
         leasePending ||
-        (!urgent &&
-          (changes.size > lastBatchSize * MAX_UNFINISHED_FRACTION || now() - lastChangeAt < MIN_CHANGE_INTERVAL_MS))
+        (!urgent && (changes.size > lastBatchSize * UNFINISHED_FRACTION || now() - lastChangeAt < CHANGE_INTERVAL_MS))
       )
         return;
       const from: Stage = move > 0 ? 'decode' : 'prefill',
@@ -196,8 +191,8 @@
       }
       if (chosen.length === 0) return;
       deps.log.say(
-        `${service}: ${count.prefill} read, ${count.decode} decode; ${Math.round(load.read)} ms wait to be read, ` +
-          `${Math.round(load.run)} run at each, ${Math.round(meanLoad.beside / TOKENS_PER_MS)} ms wait beside runs; ` +
+        `${service}: ${count.prefill} prefill, ${count.decode} decode; ${Math.round(load.read)} ms prefill queue, ` +
+          `${Math.round(load.run)} runs per server, ${Math.round(meanLoad.beside / TOKENS_PER_MS)} ms read queue; ` +
           `${chosen.length} change to ${to}.`,
       );
       sizing.reset();
--- a/packages/router/src/suspicions.ts
+++ b/packages/router/src/suspicions.ts
@@ -24,7 +24,7 @@
        */
       suspect(server: Server, why: string): void {
         if (!deps.health.bad(server.id)) return;
-        deps.log.warn(`${server.id} is under suspicion: ${why}.`);
+        deps.log.warn(`Server ${server.id} is suspected: ${why}.`);
         deps.sightings.report(server.id);
       },
       /** A server that should have room and rejects requests does so to all routers: it may be changing its stage. */
