--- a/packages/router/src/placement.ts
+++ b/packages/router/src/placement.ts
@@ -198,8 +198,8 @@
         const skipsQueue = prefillChoice.fresh / deps.pace() < Urgency.TINY;
         const ms =
           (crowded ? prefillChoice.ms : Math.min(prefillChoice.ms, decodeChoice.ms)) + HANDOVER_MS + RUN_START_MS;
-        const waits = deps.loads.at(prefillChoice.server.id).tokens / deps.pace();
-        const reading = { waits, own: prefillChoice.fresh / deps.pace(), beside: false };
+        const queuedMs = deps.loads.at(prefillChoice.server.id).tokens / deps.pace();
+        const reading = { waits: queuedMs, own: prefillChoice.fresh / deps.pace(), beside: false };
         const readOnDecode = !crowded && decodeChoice.ms <= decodeLimitMs;
         return {
           read: readOnDecode ? null : read,
--- a/packages/router/src/weighed.ts
+++ b/packages/router/src/weighed.ts
@@ -11,8 +11,8 @@
   ms: number;
   alone: number;
   /**
-   * Where the prompt would be read: ms of reading queued ahead (`waits`), ms of its own reading (`own`), and whether it
-   * would be read at a decode server because no prefill server is left (`beside`); null if nothing is known.
+   * Where the prompt would be read: ms of reading queued ahead (`queuedMs`), ms of its own reading (`ownMs`), and
+   * whether a decode server would read it because no prefill server is left (`atDecodeServer`); null if unknown.
    */
   reading: { waits: number; own: number; beside: boolean } | null;
 };
