--- a/packages/router/src/budget.ts
+++ b/packages/router/src/budget.ts
@@ -33,7 +33,7 @@
       while (partCounts.length > 0 && partCounts[0]!.part <= now - WINDOW_PARTS) partCounts.shift();
       return partCounts.reduce((sum, p) => sum + p.requests, 0);
     };
-    /** Upper bound of savings and debt together. */
+    /** Upper bound of savings and debt together, in retries. */
     const savingsAndDebtLimit = (): number =>
       slackShare() * SAVED_SLACK_FRACTION + terms().ratio * (1 - REQUEST_EARNING_FRACTION) * requestsInWindow();
     /** One whole retry can be saved only if the share of the slack, or the daemon's own requests, allow for one. */
--- a/packages/router/src/firsttries.ts
+++ b/packages/router/src/firsttries.ts
@@ -1,6 +1,6 @@
 import type { Route } from '@pumicebarrow/forms';
 
-/** Error that rounding may cause in the timeout that a client states. */
+/** Rounding error allowed in the timeout that a client states. */
 const ROUNDING_TOLERANCE_MS = 2;
 /**
  * Requests of a route after which their stated timeouts are trusted; before that, the route's own timeout is the lower
--- a/packages/router/src/placement.ts
+++ b/packages/router/src/placement.ts
@@ -33,12 +33,12 @@
 const DECODE_READ_RATE_FRACTION = 0.5;
 /** Prompts with fewer tokens to read than this are read at the decode server, unless that is busy reading. */
 const SHORT_READ_TOKENS = 1000;
-/** Time of a KV cache handover in ms, and the cost of one ms of reading beside other runs, in ms of waiting. */
+/** Duration of a KV cache handover, and the cost of 1 ms of reading at a decode server with runs, in ms of waiting. */
 const HANDOVER_MS = 25;
 const INTERFERENCE_COST_FACTOR = 1.6;
 /** Time from the start of a run to its first event, in ms. */
 const RUN_START_MS = 45;
-/** Each further set of this many runs at a server adds the same interference cost of reading beside them again. */
+/** The interference cost of a read grows by its base value with each further set of this many runs at the server. */
 const INTERFERENCE_RUNS = 16;
 /** From this many runs on, a decode server reads no prompts: each chunk it reads delays all of them. */
 const NO_READS_FROM_RUNS = 20;
