--- a/packages/router/src/stagestand.test.ts
+++ b/packages/router/src/stagestand.test.ts
@@ -28,9 +28,9 @@
       return Promise.resolve(state.reply === 'taken' ? Ok('taken' as const) : Err('lost' as const));
     },
   };
-  const purge = { publish: (d: Doc) => store.offer(d) } as unknown as Purging;
+  const gossip = { publish: (d: Doc) => store.offer(d) } as unknown as Purging;
   const duty = StageDuty.make({
-    ...{ clock: time.clock, log: Logs.quiet(), engine, purge, shelf: store, self: 'k1', lease: 3000 },
+    ...{ clock: time.clock, log: Logs.quiet(), engine, purge: gossip, shelf: store, self: 'k1', lease: 3000 },
     ...{ fence: () => state.fence, servers: () => state.servers, load: () => state.load },
     away: () => state.away,
   });
