--- a/packages/router/src/sightings.test.ts
+++ b/packages/router/src/sightings.test.ts
@@ -5,34 +5,34 @@
 import { Sightings } from './sightings.js';
 import { testClock } from './stand.test.js';
 
-describe('what is told of servers that failed', () => {
+describe('reports of failed servers', () => {
   const make = () => {
     const time = testClock();
-    const shelf = Shelf.make(SharedSound.doc);
-    const told: string[] = [];
+    const store = Shelf.make(SharedSound.doc);
+    const published: string[] = [];
     const publish = (d: Doc): boolean => {
-      told.push(d.name);
-      return shelf.offer(d);
+      published.push(d.name);
+      return store.offer(d);
     };
-    const tools = { clock: time.clock, chance: Dice.seeded(1), shelf, purge: { publish }, self: 'me' };
-    return { time, shelf, told, sightings: Sightings.make(tools) };
+    const tools = { clock: time.clock, chance: Dice.seeded(1), shelf: store, purge: { publish }, self: 'me' };
+    return { time, store, published, sightings: Sightings.make(tools) };
   };
-  it('is told once, and again only when that is old', async () => {
-    const { time, told, sightings } = make();
-    for (const id of ['a', 'b', 'a']) sightings.tell(id);
-    expect(told).to.deep.equal(['sight:a', 'sight:b']);
+  it('are sent once, and again only after the last one expired', async () => {
+    const { time, published, sightings } = make();
+    for (const id of ['a', 'b', 'a']) sightings.report(id);
+    expect(published).to.deep.equal(['sight:a', 'sight:b']);
     await time.pass(600);
-    sightings.tell('a');
-    expect(told.length).to.equal(3);
+    sightings.report('a');
+    expect(published.length).to.equal(3);
   });
-  it('is not told where another router has just told it', async () => {
-    const { time, shelf, told, sightings } = make();
+  it('are not sent if another router has just sent one', async () => {
+    const { time, store, published, sightings } = make();
     const body = { server: 'a', born: 'a', by: 'other' };
-    shelf.offer({ name: 'sight:a', mark: [4, 1], body });
-    sightings.tell('a');
-    expect(told).to.deep.equal([]);
+    store.offer({ name: 'sight:a', mark: [4, 1], body });
+    sightings.report('a');
+    expect(published).to.deep.equal([]);
     await time.pass(600);
-    sightings.tell('a');
-    expect(shelf.mark('sight:a')?.[0]).to.equal(5);
+    sightings.report('a');
+    expect(store.mark('sight:a')?.[0]).to.equal(5);
   });
 });
