--- a/packages/router/src/configurationcalls.ts
+++ b/packages/router/src/configurationcalls.ts
@@ -2,24 +2,24 @@
 import type { ControlClient } from '@pumicebarrow/registry';
 
 /** How long the head may take to confirm a configuration, and the tail to read it, in ms. */
-const WRITE_TIMEOUT = 3500;
-const READ_TIMEOUT = 2500;
+const WRITE_TIMEOUT_MS = 3500;
+const READ_TIMEOUT_MS = 2500;
 
 /**
  * The operator's calls, which any daemon may take: it hands them to the chain's head or tail by its control client.
  * Invariant: what is read is what the tail holds under its lease; nothing is answered from a copy held here.
  */
-export const ConfigurationCalls = {
+export const ConfigurationApi = {
   make(control: ControlClient) {
     return {
       /** One configuration takes the place of another in one step; the same one again is told the same again. */
       async replace(base: number, intent: Routing): Promise<Verdict> {
         const id = Hash.of([base, intent.source]);
-        const { ruling } = await control.write({ do: 'replace', id, base, intent }, WRITE_TIMEOUT);
+        const { ruling } = await control.write({ do: 'replace', id, base, intent }, WRITE_TIMEOUT_MS);
         return ruling.verdict;
       },
       async read(): Promise<Result<Routing | null, string>> {
-        const now = await control.read(undefined, READ_TIMEOUT);
+        const now = await control.read(undefined, READ_TIMEOUT_MS);
         if (!now) return Err('The core does not reply; nothing was read.');
         const intent = now.charter?.body ?? null;
         return Ok(intent && 'routes' in intent ? intent : null);
--- a/packages/router/src/controlreplica.ts
+++ b/packages/router/src/controlreplica.ts
@@ -1,14 +1,14 @@
 import { Ok } from '@pumicebarrow/forms';
 import type { Fault, MetricFamily, Result, Routing, World } from '@pumicebarrow/forms';
 import { CoreMetrics, Registrar, Views } from '@pumicebarrow/registry';
-import { ConfigurationCalls } from './configurationcalls.js';
+import { ConfigurationApi } from './configurationcalls.js';
 import { IntentDesk } from './intentdesk.js';
 import { ReplicaHandler } from './replicahandler.js';
 import type { Engine } from './engine.js';
 import { LoadTable } from './loadtable.js';
-import { ListDuty } from './listduty.js';
+import { ServerListPublisher } from './listduty.js';
 import type { ListSource } from './listsource.js';
-import type { RouterStartup } from './routerstartup.js';
+import type { RouterOptions } from './routerstartup.js';
 import { SharedSound } from './sharedsound.js';
 import { StageDuty } from './stageduty.js';
 import { StatusDesk } from './statusdesk.js';
@@ -20,7 +20,7 @@
 
 /** A core daemon of a routed fleet put together: the registry, the duties, and the operators' desk. */
 export const ControlReplica = {
-  async make(world: World, startup: Omit<RouterStartup, 'revocation'> & Core, source: ListSource, engine: Engine) {
+  async make(world: World, startup: Omit<RouterOptions, 'revocation'> & Core, source: ListSource, engine: Engine) {
     const made = await Registrar.make(world, {
       ...{ id: startup.id, addr: startup.addr, site: startup.zone, seeds: startup.seeds, tunes: startup.tunes },
       ...{ losses: startup.losses, first: startup.first, sound: SharedSound.doc, known: () => desk.routers() },
@@ -36,7 +36,7 @@
     const speaks = (): boolean => head() && d.core.live();
     /** The agreed view's epoch, at the one daemon that may speak for it: no two have one, and it only rises. */
     const fence = (): number | null => (speaks() ? (view()?.epoch ?? null) : null);
-    const duty = ListDuty.make({
+    const duty = ServerListPublisher.make({
       ...{ clock, source, purge: d.purge },
       fence,
       every: Math.max(400, startup.drain / 4),
@@ -77,7 +77,7 @@
         duty,
         stages,
       },
-      ...ConfigurationCalls.make(d.line),
+      ...ConfigurationApi.make(d.line),
       metrics: (): MetricFamily[] => CoreMetrics.families(d),
       start(): void {
         d.start();
--- a/packages/router/src/duties.test.ts
+++ b/packages/router/src/duties.test.ts
@@ -4,7 +4,7 @@
 import { expect } from 'chai';
 import { HeadLine } from './headline.js';
 import { ReplicaHandler } from './replicahandler.js';
-import { ListDuty } from './listduty.js';
+import { ServerListPublisher } from './listduty.js';
 import { ListRows } from './listrows.js';
 import { daemon, testTown } from './post.test.js';
 import type { Server } from './server.js';
@@ -25,7 +25,7 @@
       },
     };
     const purge = { publish: (d: Doc) => shelf.offer(d) } as unknown as Purging;
-    const duty = ListDuty.make({
+    const duty = ServerListPublisher.make({
       ...{ clock: time.clock, source, purge, every: 1000, fence: () => state.fence },
     });
     return { time, shelf, state, duty };
--- a/packages/router/src/engine.ts
+++ b/packages/router/src/engine.ts
@@ -6,7 +6,7 @@
 import type { SendFault } from './sendfault.js';
 import type { Server } from './server.js';
 
-type Terms = {
+type SendOptions = {
   /** ms that the server may work on it, and that are waited for it. */
   ms: number;
   /** 0 goes first, 9 last. */
@@ -20,15 +20,15 @@
  */
 export type Engine = {
   /** Reads a prompt; nothing is run. */
-  prefill(server: Server, request: Request, terms: Terms): Promise<Result<Handle, SendFault>>;
+  prefill(server: Server, request: Request, terms: SendOptions): Promise<Result<Handle, SendFault>>;
   /** Runs a request, from a handle held elsewhere or reading the prompt itself; after an event, or from the start. */
   run(
     server: Server,
     request: Request,
-    from: Handle | null,
-    after: string | null,
-    terms: Terms,
-    heard: Heard,
+    handle: Handle | null,
+    lastEventId: string | null,
+    terms: SendOptions,
+    response: Heard,
   ): Promise<Result<void, SendFault>>;
   /** Whether a connection to the server stands idle, so that none has to be opened for the next request. */
   linked(server: Server): boolean;
--- a/packages/router/src/intentdesk.ts
+++ b/packages/router/src/intentdesk.ts
@@ -24,7 +24,7 @@
  */
 export const IntentDesk = {
   forms: {
-    ask: Type.Object({ id: Type.String({ pattern: '^[\\w.:-]{1,60}$' }), text: Type.String() }, shut),
+    request: Type.Object({ id: Type.String({ pattern: '^[\\w.:-]{1,60}$' }), text: Type.String() }, shut),
     told: Type.Object({ verdict: Verdict, base: Type.Integer(), changes: Type.Array(Change) }, shut),
   },
   make(post: PostBox, line: ControlClient, read: Read | null): void {
@@ -33,7 +33,7 @@
       const faults = got.ok ? Clauses.faults(got.val) : [];
       return faults.length > 0 ? Err(faults) : got;
     };
-    post.on('intent.plan', IntentDesk.forms.ask, async ({ id, text }) => {
+    post.on('intent.plan', IntentDesk.forms.request, async ({ id, text }) => {
       const will = whole(text);
       if (will.err) return { verdict: Verdicts.bad(will.val), base: 0, changes: [] };
       const now = await line.read(undefined, READ);
--- a/packages/router/src/job.ts
+++ b/packages/router/src/job.ts
@@ -16,10 +16,10 @@
   /** That of the tenant, or else of the route: 0 goes first. */
   rank: number;
   service: Service;
-  sink: AnswerSink;
+  writer: AnswerSink;
   due: number;
   /** Whether it is the client's first try, as far as that shows. */
-  first: boolean;
+  isFirstTry: boolean;
   /** Whether it goes before others at a server, because it was sent away once. */
   ahead: boolean;
   arrivals: number;
@@ -29,13 +29,13 @@
   /** How it fares, as weighed in this very turn; null once that may have changed. */
   weighed: Weighed | null;
   handle: Handle | null;
-  after: string | null;
-  begun: boolean;
-  events: number;
+  lastEventId: string | null;
+  responseStarted: boolean;
+  eventsSent: number;
   /** The status of the answer that has begun. */
   status: number;
   /** Whether some send may have run it. */
-  maybe: boolean;
+  mayHaveRun: boolean;
   avoid: Set<string>;
   fault: SendFault | null;
   left: AbortController;
--- a/packages/router/src/keyrevocation.ts
+++ b/packages/router/src/keyrevocation.ts
@@ -2,7 +2,7 @@
 import type { Routes } from './routes.js';
 
 /** ms before the bound at which streams are ended, so that their clients see it within the bound. */
-const MARGIN = 500;
+const ABORT_MARGIN_MS = 500;
 
 /**
  * Ends what is still under way with a key that was taken away. New requests and further sends are refused as soon as
@@ -14,7 +14,7 @@
     const underWay = new Map<string, Set<AbortController>>();
     const held = (key: string): boolean => {
       const now = routes();
-      return now === null || !now.tenants.required || now.tenants.holder(key) !== null;
+      return now === null || !now.tenants.keysRequired || now.tenants.tenantForKey(key) !== null;
     };
     const end = (key: string): void => {
       if (held(key)) return;
@@ -22,7 +22,7 @@
     };
     return {
       /** A request is under way with this key, until the function given back is called. */
-      begin(key: string, stop: AbortController): () => void {
+      track(key: string, stop: AbortController): () => void {
         const same = underWay.get(key) ?? new Set();
         underWay.set(key, same.add(stop));
         return () => {
@@ -31,8 +31,9 @@
         };
       },
       /** Another configuration is in force. */
-      changed(): void {
-        for (const key of underWay.keys()) if (!held(key)) clock.after(Math.max(0, bound() - MARGIN), () => end(key));
+      configurationChanged(): void {
+        for (const key of underWay.keys())
+          if (!held(key)) clock.after(Math.max(0, bound() - ABORT_MARGIN_MS), () => end(key));
       },
     };
   },
--- a/packages/router/src/leaving.test.ts
+++ b/packages/router/src/leaving.test.ts
@@ -1,9 +1,9 @@
 import { Dice, Err } from '@pumicebarrow/forms';
 import { Tuned } from '@pumicebarrow/purge';
 import { expect } from 'chai';
-import { DIRECT, play } from './play.test.js';
+import { SHORT_PROMPT, play } from './play.test.js';
 import { Router } from './router.js';
-import { request, routing, testClock, testEngine, testSink, testWorld } from './stand.test.js';
+import { request, routing, testClock, testEngine, testResponseWriter, testWorld } from './stand.test.js';
 
 describe('a router that leaves', () => {
   it('learns the newest configuration again after a sleep, and serves what still comes', async () => {
@@ -18,7 +18,7 @@
     const source = { poll: () => Promise.resolve(Err('none')) };
     const router = Router.make(testWorld(clock), startup, testEngine([], []), source);
     const code = async (): Promise<string | undefined> => {
-      const told = router.serve(request(clock.mono()), testSink().sink);
+      const told = router.serve(request(clock.mono()), testResponseWriter().sink);
       await time.pass(600);
       return (await told)?.code;
     };
@@ -44,7 +44,7 @@
       ['without, as far as is known', 7000, 'leaving'],
     ];
     for (const [name, left, code] of cases) {
-      const got = await play({ ...DIRECT, left, script: [{ run: 'ok', events: 1 }] });
+      const got = await play({ ...SHORT_PROMPT, left, script: [{ run: 'ok', events: 1 }] });
       expect(got.verdict?.code, name).to.equal(code);
       expect(got.calls.length, name).to.equal(code ? 0 : 1);
     }
@@ -65,7 +65,7 @@
       const left = draw(200, 9000);
       const got = await play({
         ...{ route: { timeout }, left: [Infinity, left], wait },
-        request: { ...DIRECT.request, due: 1000 + wait },
+        request: { ...SHORT_PROMPT.request, due: 1000 + wait },
         script: [
           { run: 'ok', events: 1 },
           { run: 'ok', events: 1 },
--- a/packages/router/src/listduty.ts
+++ b/packages/router/src/listduty.ts
@@ -19,7 +19,7 @@
  * One daemon asks the platform for the list, and purge passes it on. Invariants: it is published only under a fence
  * that is live at that instant, with a step that rises; its age counts from before it was asked for.
  */
-export const ListDuty = {
+export const ServerListPublisher = {
   make(t: Tools) {
     let held: Held | null = null;
     let next = -Infinity;
--- a/packages/router/src/outcomecounters.ts
+++ b/packages/router/src/outcomecounters.ts
@@ -24,7 +24,7 @@
         counts[kind].set(outcome, (counts[kind].get(outcome) ?? 0) + 1);
       },
       /** Requests by outcome, as of now. */
-      requests: (): ReadonlyMap<string, number> => new Map(counts.requests),
+      requestsByOutcome: (): ReadonlyMap<string, number> => new Map(counts.requests),
       families: (): MetricFamily[] =>
         (Object.keys(HELP) as Kind[]).map((kind) => ({
           ...{ name: `${kind}_total`, help: HELP[kind], kind: 'counter' as const },
--- a/packages/router/src/play.test.ts
+++ b/packages/router/src/play.test.ts
@@ -10,17 +10,26 @@
 import { ReadWait } from './readwait.js';
 import { RequestLog } from './requestlog.js';
 import { RouteTable } from './routetable.js';
-import { Serve } from './serve.js';
+import { RequestHandler } from './serve.js';
 import type { Server } from './server.js';
 import { ServerHealth } from './serverhealth.js';
 import { ServerList } from './serverlist.js';
 import { ServerLoads } from './serverloads.js';
 import { ServerSpeed } from './serverspeed.js';
-import type { Act, Asked } from './stand.test.js';
-import { prompt, request, routing, server, testClock, testEngine, testSink, testWorld } from './stand.test.js';
+import type { ScriptedResult, SentRequest } from './stand.test.js';
+import {
+  prompt,
+  request,
+  routing,
+  server,
+  testClock,
+  testEngine,
+  testResponseWriter,
+  testWorld,
+} from './stand.test.js';
 
-export type Setting = {
-  script: Act[];
+export type Scenario = {
+  script: ScriptedResult[];
   route?: Partial<Routing['routes'][number]>;
   servers?: Server[];
   request?: Partial<Request>;
@@ -43,14 +52,14 @@
   busy?: Readonly<Record<string, number>>;
   /** ms that the client waits, after an earlier try of 8 s. */
   wait?: number;
-  after?: (t: ReturnType<typeof testClock>, sink: ReturnType<typeof testSink>) => Promise<void>;
+  after?: (t: ReturnType<typeof testClock>, sink: ReturnType<typeof testResponseWriter>) => Promise<void>;
 };
 const FLEET = [server('p1', 'prefill'), server('d1', 'decode'), server('d2', 'decode')];
 
-export const play = async (s: Setting) => {
+export const play = async (s: Scenario) => {
   const time = testClock(),
     calls: string[] = [],
-    asked: Asked[] = [],
+    asked: SentRequest[] = [],
     suspected: string[] = [],
     turned: string[] = [];
   const world = testWorld(time.clock);
@@ -97,7 +106,7 @@
   );
   const steps = RequestLog.make(time.clock),
     shedder = LoadShedder.make(time.clock, world.chance);
-  const serve = Serve.make({
+  const serve = RequestHandler.make({
     log: steps,
     counters: OutcomeCounters.make(),
     shedders: { of: () => shedder },
@@ -115,9 +124,9 @@
       engine: testEngine(s.script, calls, asked),
     },
     ...{
-      shut: () => s.shut ?? null,
-      left,
-      keysKnown: () => s.keysKnown ?? true,
+      unavailable: () => s.shut ?? null,
+      remainingLifetimeMs: left,
+      keysCurrent: () => s.keysKnown ?? true,
       revocation,
       routes: () => routes,
       placement: Placement.make(tools),
@@ -126,8 +135,8 @@
     suspect: (x) => void (health.bad(x.id) && suspected.push(x.id)),
   });
   loads.heard(() => new Map(Object.entries(s.busy ?? {}).map(([id, tokens]) => [id, { runs: 0, reads: 1, tokens }])));
-  if (s.wait !== undefined) await serve(request(time.clock.mono(), s.request), testSink().sink);
-  const out = testSink();
+  if (s.wait !== undefined) await serve(request(time.clock.mono(), s.request), testResponseWriter().sink);
+  const out = testResponseWriter();
   const more = s.wait === undefined ? {} : { wait: s.wait };
   const done = serve(request(time.clock.mono(), { ...s.request, ...more }), out.sink);
   if (s.renewed !== undefined) {
@@ -138,7 +147,7 @@
     if (!next) continue;
     await time.pass(next.ms);
     routes = RouteTable.make({ ...routing(s.route), tenants: next.tenants });
-    revocation.changed();
+    revocation.configurationChanged();
   }
   if (s.old || s.shut) await time.pass(600);
   if (s.after) await s.after(time, out);
@@ -147,7 +156,7 @@
     calls,
     asked: asked.map((a) => a.request),
     urgencies: asked.map((a) => a.urgency),
-    steps: steps.of('q1'),
+    steps: steps.stepsOf('q1'),
     log: out.log,
     verdict,
     suspected,
@@ -156,5 +165,5 @@
     level: budget.level(),
   };
 };
-export const DIRECT = { request: { prompt: prompt(200, 200) } };
-export const d = (calls: string[]): string[] => calls.map((c) => c.replace(/ d\d/, ' d'));
+export const SHORT_PROMPT = { request: { prompt: prompt(200, 200) } };
+export const withoutServerNumbers = (calls: string[]): string[] => calls.map((c) => c.replace(/ d\d/, ' d'));
--- a/packages/router/src/post.test.ts
+++ b/packages/router/src/post.test.ts
@@ -1,33 +1,33 @@
 import { Check, Err, Ok, type Ident, type PostBox, type Result } from '@pumicebarrow/forms';
 import type { TSchema } from 'typebox';
 
-type Desk = { form: TSchema; fn: (body: never, from: Ident) => unknown };
+type Handler = { form: TSchema; fn: (body: never, from: Ident) => unknown };
 
 /** Daemons that ask each other in one process; mail is checked and copied as over a wire. `down` ones don't reply. */
 export const testTown = () => {
-  const desks = new Map<string, Map<string, Desk>>();
-  const down = new Set<string>();
-  const asked: string[] = [];
+  const handlers = new Map<string, Map<string, Handler>>();
+  const unreachable = new Set<string>();
+  const sentMessages: string[] = [];
   return {
-    down,
-    asked,
+    down: unreachable,
+    asked: sentMessages,
     post(who: Ident): PostBox {
-      const mine = new Map<string, Desk>();
-      desks.set(who.addr, mine);
+      const ownHandlers = new Map<string, Handler>();
+      handlers.set(who.addr, ownHandlers);
       return {
-        on: (kind, form, fn) => void mine.set(kind, { form, fn: fn }),
-        heed: (kind, form, fn) => void mine.set(kind, { form, fn: fn }),
+        on: (kind, form, fn) => void ownHandlers.set(kind, { form, fn: fn }),
+        heed: (kind, form, fn) => void ownHandlers.set(kind, { form, fn: fn }),
         tell(addr, _to, kind, body): void {
-          asked.push(`${who.id} ${kind} ${addr}`);
-          const desk = down.has(addr) ? undefined : desks.get(addr)?.get(kind);
+          sentMessages.push(`${who.id} ${kind} ${addr}`);
+          const desk = unreachable.has(addr) ? undefined : handlers.get(addr)?.get(kind);
           if (!desk) return;
           const sent = Check.parse(desk.form, JSON.parse(JSON.stringify(body)));
           if (sent.err) throw new Error(JSON.stringify(sent.val));
           desk.fn(sent.val as never, who);
         },
         async ask(addr, _to, kind, body, form): Promise<Result<never, never>> {
-          asked.push(`${who.id} ${kind} ${addr}`);
-          const desk = down.has(addr) ? undefined : desks.get(addr)?.get(kind);
+          sentMessages.push(`${who.id} ${kind} ${addr}`);
+          const desk = unreachable.has(addr) ? undefined : handlers.get(addr)?.get(kind);
           if (!desk) return Err('unsent') as never;
           const sent = Check.parse(desk.form, JSON.parse(JSON.stringify(body)));
           if (sent.err) throw new Error(JSON.stringify(sent.val));
--- a/packages/router/src/replicahandler.ts
+++ b/packages/router/src/replicahandler.ts
@@ -63,7 +63,7 @@
       const now = [...ids].sort().map((id) => seen.get(id)!.who);
       return Hash.of(now) === held ? null : now;
     };
-    t.post.on('keeper.checkin', Words.checkin, (body, from) => {
+    t.post.on('keeper.checkin', Words.checkinRequest, (body, from) => {
       const ok = t.speaks();
       const view = t.view();
       tidy();
--- a/packages/router/src/requestdesk.ts
+++ b/packages/router/src/requestdesk.ts
@@ -8,10 +8,10 @@
 /** Where a router tells what it did with one request. */
 export const RequestDesk = {
   forms: {
-    ask: Type.Object({ id: Type.String() }, shut),
+    request: Type.Object({ id: Type.String() }, shut),
     told: Type.Object({ steps: Type.Array(RequestStep) }, shut),
   },
   make(post: PostBox, log: ReturnType<typeof RequestLog.make>): void {
-    post.on('request.tell', RequestDesk.forms.ask, (body) => ({ steps: log.of(body.id) }));
+    post.on('request.tell', RequestDesk.forms.request, (body) => ({ steps: log.stepsOf(body.id) }));
   },
 };
--- a/packages/router/src/requestlog.test.ts
+++ b/packages/router/src/requestlog.test.ts
@@ -1,10 +1,10 @@
 import { expect } from 'chai';
-import { d, DIRECT, play, type Setting } from './play.test.js';
+import { withoutServerNumbers, SHORT_PROMPT, play, type Scenario } from './play.test.js';
 import { RequestLog } from './requestlog.js';
 import { server, testClock } from './stand.test.js';
 
 describe('the steps of a request', () => {
-  const cases: [string, Setting, string[]][] = [
+  const cases: [string, Scenario, string[]][] = [
     [
       'one that is read apart',
       { script: [{ read: 'ok' }, { run: 'ok', events: 2 }] },
@@ -12,7 +12,7 @@
     ],
     [
       'one that is read where it runs',
-      { ...DIRECT, script: [{ run: 'ok', events: 1 }] },
+      { ...SHORT_PROMPT, script: [{ run: 'ok', events: 1 }] },
       ['taken llm r', 'beside', 'run d', 'first d', 'done yes whole'],
     ],
     [
@@ -23,7 +23,7 @@
     [
       'a stream that goes on elsewhere',
       {
-        ...DIRECT,
+        ...SHORT_PROMPT,
         script: [
           { run: 'broken', events: 1 },
           { run: 'ok', events: 1 },
@@ -33,7 +33,7 @@
     ],
     [
       'one for which no server is left',
-      { ...DIRECT, script: [], servers: [server('p1', 'prefill')] },
+      { ...SHORT_PROMPT, script: [], servers: [server('p1', 'prefill')] },
       ['taken llm r', 'beside', 'done no noserver'],
     ],
     ['one without a route', { script: [], request: { path: '/other/' } }, ['done no unknownroute']],
@@ -42,7 +42,9 @@
   for (const [name, setting, want] of cases) {
     it(`are told of ${name}`, async () => {
       const { steps } = await play(setting);
-      expect(d(steps.map((s) => [s.what, s.at, s.word].filter((w) => w !== '').join(' ')))).to.deep.equal(want);
+      expect(
+        withoutServerNumbers(steps.map((s) => [s.what, s.at, s.word].filter((w) => w !== '').join(' '))),
+      ).to.deep.equal(want);
     });
   }
   it('say what is to be read, and whether that is at the home of its prefix', async () => {
@@ -53,8 +55,8 @@
   it('are held in a ring of a fixed size, the oldest given up first', () => {
     const log = RequestLog.make(testClock().clock, 4);
     for (const id of ['a', 'b', 'b', 'c', 'b']) log.note(id, 'beside', { at: id });
-    expect(log.of('a')).to.deep.equal([]);
-    expect(log.of('b')).to.have.length(3);
-    expect(log.of('c').map((s) => s.at)).to.deep.equal(['c']);
+    expect(log.stepsOf('a')).to.deep.equal([]);
+    expect(log.stepsOf('b')).to.have.length(3);
+    expect(log.stepsOf('c').map((s) => s.at)).to.deep.equal(['c']);
   });
 });
--- a/packages/router/src/requestlog.ts
+++ b/packages/router/src/requestlog.ts
@@ -20,7 +20,7 @@
         next = (next + 1) % size;
       },
       /** The steps still held of one request, oldest first. */
-      of: (id: string): RequestStep[] =>
+      stepsOf: (id: string): RequestStep[] =>
         [...ring.slice(next), ...ring.slice(0, next)]
           .filter((r) => r.id === id)
           .map(({ wall, what, more }) => ({
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -8,7 +8,7 @@
 import { Budgets } from './budgets.js';
 import { Certainty } from './certainty.js';
 import { Changing } from './changing.js';
-import { ConfigurationCalls } from './configurationcalls.js';
+import { ConfigurationApi } from './configurationcalls.js';
 import type { Engine } from './engine.js';
 import { HeadLine } from './headline.js';
 import { KeptParts } from './keptparts.js';
@@ -29,10 +29,10 @@
 import { ReadWait } from './readwait.js';
 import { RequestDesk } from './requestdesk.js';
 import { RequestLog } from './requestlog.js';
-import type { RouterStartup } from './routerstartup.js';
+import type { RouterOptions } from './routerstartup.js';
 import type { Routes } from './routes.js';
 import { RouteTable } from './routetable.js';
-import { Serve } from './serve.js';
+import { RequestHandler } from './serve.js';
 import { ServerHealth } from './serverhealth.js';
 import { ServerList } from './serverlist.js';
 import { ServerLoads } from './serverloads.js';
@@ -51,7 +51,7 @@
 
 /** A router daemon put together: purge, its line to the core, the list, and the requests' path. */
 export const Router = {
-  make(world: World, startup: RouterStartup, engine: Engine, source: ListSource) {
+  make(world: World, startup: RouterOptions, engine: Engine, source: ListSource) {
     const { clock } = world;
     const log = world.log('router');
     const ident: Ident = {
@@ -129,7 +129,7 @@
     });
     const budgets = Budgets.make(clock, () => startup.budget, head.routers);
     const shedders = PerService.make(() => LoadShedder.make(clock, world.chance));
-    const shut = (): Verdict | null => {
+    const unavailable = (): Verdict | null => {
       awake.look();
       if (is() === 'serving' || (is() === 'draining' && certainty.is())) return null;
       return Verdicts.not('asking', 'This daemon is learning the newest configuration.', 0.2);
@@ -139,17 +139,17 @@
       () => routes,
       () => startup.revocation.within,
     );
-    const keysKnown = (): boolean => !startup.revocation.everywhere || head.unconfirmed() < startup.revocation.within;
-    const left = (): number => (clock.mono() < leaving.turned ? Infinity : leaving.end - clock.mono());
+    const keysCurrent = (): boolean => !startup.revocation.everywhere || head.unconfirmed() < startup.revocation.within;
+    const remainingLifetimeMs = (): number => (clock.mono() < leaving.turned ? Infinity : leaving.end - clock.mono());
     const sightings = Sightings.make({ clock, chance: world.chance, shelf, purge, self: ident.id });
-    const { suspect, turned } = Suspicions.make({ log, health, loads, sightings });
+    const { suspect, turned: noteRejection } = Suspicions.make({ log, health, loads, sightings });
     const steps = RequestLog.make(clock);
-    const tools = {
+    const dependencies = {
       world,
       engine,
-      shut,
-      left,
-      keysKnown,
+      unavailable,
+      remainingLifetimeMs,
+      keysCurrent,
       revocation,
       list,
       loads,
@@ -161,12 +161,12 @@
       placement,
       budgets,
       suspect,
-      turned,
+      turned: noteRejection,
       counters,
       shedders,
       broker,
     };
-    const serve = Serve.make({ ...tools, log: steps, routes: () => routes });
+    const serve = RequestHandler.make({ ...dependencies, log: steps, routes: () => routes });
     const serverMetrics = ServerMetrics.make(list, loads);
     const stops: (() => void)[] = [];
     const ears: ((now: Routes) => void)[] = [];
@@ -176,7 +176,7 @@
         const intent = (doc.body as CharterBody).charter;
         if (!('routes' in intent)) return;
         routes = RouteTable.make(intent);
-        revocation.changed();
+        revocation.configurationChanged();
         for (const fn of ears) fn(routes);
         log.say(`Configuration ${routes.revision} has taken hold.`);
       }
@@ -207,7 +207,7 @@
       heed(fn: (now: Routes) => void): void {
         ears.push(fn);
       },
-      configuration: ConfigurationCalls.make(line),
+      configuration: ConfigurationApi.make(line),
       serve: (request: Request, sink: AnswerSink): Promise<Verdict | null> => serve(request, sink),
       metrics: (): MetricFamily[] => [...counters.families(), ...serverMetrics.families()],
       /** Whether new clients are welcome. */
@@ -224,7 +224,7 @@
         broker.start();
         void certainty.seek();
         stops.push(Timer.every(clock, CHECKIN, head.tick));
-        stops.push(OutcomeLog.start({ clock, log, requests: counters.requests, servers: serverMetrics.text }));
+        stops.push(OutcomeLog.start({ clock, log, requests: counters.requestsByOutcome, servers: serverMetrics.text }));
       },
       /**
        * From here on it is not ready; what comes all the same is served. After `turned` ms, when clients should go
--- a/packages/router/src/routerstartup.ts
+++ b/packages/router/src/routerstartup.ts
@@ -1,7 +1,7 @@
 import type { Tunes } from '@pumicebarrow/purge';
 
 /** What a router or control replica is started with; what may change while it lives is asked for. */
-export type RouterStartup = {
+export type RouterOptions = {
   id: string;
   addr: string;
   zone: string;
--- a/packages/router/src/routetable.ts
+++ b/packages/router/src/routetable.ts
@@ -1,14 +1,14 @@
 import type { Route, Routing, Service } from '@pumicebarrow/forms';
 import { TenantDirectory } from './tenantdirectory.js';
 
-type Found = { route: Route; services: readonly { service: Service; weight: number }[] };
-type Host = readonly { prefix: string; found: Found }[];
+type RouteMatch = { route: Route; services: readonly { service: Service; weight: number }[] };
+type Host = readonly { prefix: string; found: RouteMatch }[];
 
 /** One routing, made ready for look-ups. Invariant: the prefixes of a host stand longest first, so the first wins. */
 export const RouteTable = {
   make(routing: Routing) {
     const services = new Map(routing.services.map((s) => [s.name, s]));
-    const hosts = new Map<string, { prefix: string; found: Found }[]>();
+    const hosts = new Map<string, { prefix: string; found: RouteMatch }[]>();
     for (const route of routing.routes) {
       const list = route.split.flatMap((s) => {
         const service = services.get(s.service);
@@ -25,12 +25,12 @@
       limits: routing.limits,
       tenants: TenantDirectory.make(routing.tenants),
       services: (): readonly Service[] => routing.services,
-      find(host: string, path: string): Found | null {
+      find(host: string, path: string): RouteMatch | null {
         const plain = path.split('?', 1)[0]!;
         return table.get(host)?.find((p) => plain.startsWith(p.prefix))?.found ?? null;
       },
       /** The service that a request goes to, by a number from 0 up to 1. */
-      pick(found: Found, chance: number): Service | null {
+      pickService(found: RouteMatch, chance: number): Service | null {
         const sum = found.services.reduce((n, s) => n + s.weight, 0);
         let left = chance * sum;
         for (const s of found.services) {
--- a/packages/router/src/runner.ts
+++ b/packages/router/src/runner.ts
@@ -29,13 +29,13 @@
  * events, in the server's order; a second run goes on after the last event that went out, under the first head; a
  * status that promises what the server did not say of a request that may not run twice is never passed on.
  */
-export const Runner = {
+export const DecodeRunner = {
   make(t: ServeTools) {
     const now = (): number => t.world.clock.mono();
     const watch = Rounds.make(t.world.clock, LOOK);
     /** Whether another server may take it up once this one may have run it. */
     const again = (job: Job): boolean =>
-      (job.route.resumable && job.route.kind === 'stream') || (job.route.kind === 'idempotent' && !job.begun);
+      (job.route.resumable && job.route.kind === 'stream') || (job.route.kind === 'idempotent' && !job.responseStarted);
     /** Looks after a run: suspects a server that is silent, and gives up waiting where it may go on elsewhere. */
     const guard = (job: Job, s: Server, stop: AbortController) => {
       let last = now();
@@ -46,7 +46,7 @@
           told = true;
           t.suspect(s, `silent for ${Math.round(quiet)} ms`);
         }
-        const most = job.events > 0 ? NEXT : FIRST;
+        const most = job.eventsSent > 0 ? NEXT : FIRST;
         // A server with much to do may be late with one; one with little to do, or wholly silent, has lost it.
         const lost = t.health.silent(s.id) > SILENT || t.loads.at(s.id).runs < BUSY;
         if (again(job) && quiet > most && lost && job.arrivals < job.route.tries) stop.abort('late');
@@ -66,18 +66,18 @@
         // A failure that the server tells of is an answer, but one that may run again goes elsewhere before it is told.
         if (status >= FAILED && again(job) && job.arrivals < job.route.tries) return false;
         if (PROMISES.has(status) && !again(job)) return false;
-        if (job.begun) return status === job.status;
-        job.begun = true;
+        if (job.responseStarted) return status === job.status;
+        job.responseStarted = true;
         job.status = status;
-        job.sink.head(status, headers);
+        job.writer.head(status, headers);
         return true;
       },
       event(id, bytes) {
         read();
-        if (id !== null) job.after = id;
-        if (job.events === 0) t.log.note(job.request.id, 'first', { at: s.id });
-        job.events++;
-        return job.sink.bytes(bytes);
+        if (id !== null) job.lastEventId = id;
+        if (job.eventsSent === 0) t.log.note(job.request.id, 'first', { at: s.id });
+        job.eventsSent++;
+        return job.writer.bytes(bytes);
       },
     });
     const send = async (job: Job, s: Server): Promise<Result<void, SendFault>> => {
@@ -90,7 +90,7 @@
       job.left.signal.addEventListener('abort', gone);
       const kept = guard(job, s, stop);
       const beside = t.loads.at(s.id).runs;
-      const before = job.events;
+      const before = job.eventsSent;
       const from = now();
       const handle = job.handle;
       t.log.note(job.request.id, 'run', { at: s.id, word: handle?.server.id ?? '', tokens: fresh, ahead: beside - 1 });
@@ -101,16 +101,16 @@
         urgency: Urgency.of({ aim: job.route.aim, rank: job.rank }, fresh / t.pace.now(), job.ahead),
         signal: stop.signal,
       };
-      const got = await t.engine.run(s, job.request, handle, job.after, terms, hearer(job, s, kept.stir, read));
+      const got = await t.engine.run(s, job.request, handle, job.lastEventId, terms, hearer(job, s, kept.stir, read));
       kept.stop();
       t.counters.count('runs', got.ok ? 'ok' : got.val.code);
-      const more = job.events - before;
+      const more = job.eventsSent - before;
       if (more > ENOUGH) t.speed.note(s.id, (now() - from) / more, GAP + beside * EACH);
       free();
       read();
       job.left.signal.removeEventListener('abort', gone);
       // A send that never arrived has taken nothing: the memory may still be fetched by another.
-      if (got.err && Blame.unmet(got.val)) job.handle = handle;
+      if (got.err && Blame.neverArrived(got.val)) job.handle = handle;
       return got;
     };
     /** A handle that can't be had and a server that is full are told alike: the one that gave the handle is asked. */
@@ -133,14 +133,14 @@
       job.avoid.add(s.id);
       if (f.code === 'gone' && job.left.signal.aborted) {
         // The client may still be there: its key was taken away.
-        job.maybe ||= f.ran !== 'no';
+        job.mayHaveRun ||= f.ran !== 'no';
         return true;
       }
-      if (Blame.unmet(f)) job.arrivals--;
+      if (Blame.neverArrived(f)) job.arrivals--;
       if (Blame.turned(f)) turned(s, f, giver);
       if (f.code === 'gone' || Blame.falls(f, t.health.silent(s.id), SILENT)) t.suspect(s, f.why);
       if (f.ran === 'no') return false;
-      job.maybe = true;
+      job.mayHaveRun = true;
       return !again(job);
     };
     /** Gives true once the job is over: whole, cut, or without a way on. */
--- a/packages/router/src/serve.test.ts
+++ b/packages/router/src/serve.test.ts
@@ -1,12 +1,12 @@
 import { Verdicts } from '@pumicebarrow/forms';
 import { expect } from 'chai';
-import { d, DIRECT, play, type Setting } from './play.test.js';
+import { withoutServerNumbers, SHORT_PROMPT, play, type Scenario } from './play.test.js';
 import { server } from './stand.test.js';
 
 describe('the serving of a request', () => {
   const cases: [
     string,
-    Setting,
+    Scenario,
     { calls: string[]; log?: string[]; code?: string; ran?: string; suspects?: number; turned?: string[] },
   ][] = [
     [
@@ -16,7 +16,7 @@
     ],
     [
       'short prompts are read where they run',
-      { ...DIRECT, script: [{ run: 'ok', events: 1 }] },
+      { ...SHORT_PROMPT, script: [{ run: 'ok', events: 1 }] },
       { calls: ['run d'], log: ['1;', 'end'] },
     ],
     [
@@ -41,17 +41,17 @@
     ],
     [
       'a run turned away goes to another, once',
-      { ...DIRECT, script: [{ run: 'refused' }, { run: 'refused' }] },
+      { ...SHORT_PROMPT, script: [{ run: 'refused' }, { run: 'refused' }] },
       { calls: ['run d', 'run d'], code: 'noserver', ran: 'no' },
     ],
     [
       'a run turned away is not sent again where one try is all',
-      { ...DIRECT, script: [{ run: 'refused' }], route: { tries: 1 } },
+      { ...SHORT_PROMPT, script: [{ run: 'refused' }], route: { tries: 1 } },
       { calls: ['run d'], code: 'noserver', ran: 'no' },
     ],
     [
       'a run turned away is not sent again without budget',
-      { ...DIRECT, script: [{ run: 'refused' }], budget: 0 },
+      { ...SHORT_PROMPT, script: [{ run: 'refused' }], budget: 0 },
       { calls: ['run d'], code: 'noserver', ran: 'no' },
     ],
     [
@@ -77,7 +77,7 @@
     [
       'a stream that may be resumed goes on after its last event, under the first head',
       {
-        ...DIRECT,
+        ...SHORT_PROMPT,
         script: [
           { run: 'broken', events: 2 },
           { run: 'ok', events: 1 },
@@ -87,33 +87,33 @@
     ],
     [
       'a stream that may not be resumed is cut, never ended',
-      { ...DIRECT, script: [{ run: 'broken', events: 2 }], route: { resumable: false } },
+      { ...SHORT_PROMPT, script: [{ run: 'broken', events: 2 }], route: { resumable: false } },
       { calls: ['run d'], log: ['1;', '2;', 'cut'], suspects: 1 },
     ],
     [
       'what may have run and may not run again is told so',
-      { ...DIRECT, script: [{ run: 'broken' }], route: { resumable: false } },
+      { ...SHORT_PROMPT, script: [{ run: 'broken' }], route: { resumable: false } },
       { calls: ['run d'], code: 'broken', ran: 'maybe', suspects: 1 },
     ],
     [
       'after a run that may have been, a refusal elsewhere is no promise',
-      { ...DIRECT, script: [{ run: 'broken' }, { run: 'refused' }] },
+      { ...SHORT_PROMPT, script: [{ run: 'broken' }, { run: 'refused' }] },
       { calls: ['run d', 'run d'], code: 'broken', ran: 'maybe', suspects: 1 },
     ],
     [
       'what may run again does, from the start, while nothing has gone out',
-      { ...DIRECT, script: [{ run: 'broken' }, { run: 'ok', events: 1 }], route: { kind: 'idempotent' } },
+      { ...SHORT_PROMPT, script: [{ run: 'broken' }, { run: 'ok', events: 1 }], route: { kind: 'idempotent' } },
       { calls: ['run d', 'run d'], log: ['1;', 'end'], suspects: 1 },
     ],
     [
       'an idempotent answer that has begun is cut',
-      { ...DIRECT, script: [{ run: 'broken', events: 1 }], route: { kind: 'idempotent', resumable: false } },
+      { ...SHORT_PROMPT, script: [{ run: 'broken', events: 1 }], route: { kind: 'idempotent', resumable: false } },
       { calls: ['run d'], log: ['1;', 'cut'], suspects: 1 },
     ],
     [
       'what a second server answers other than a stream is no part of the first',
       {
-        ...DIRECT,
+        ...SHORT_PROMPT,
         script: [
           { run: 'broken', events: 1 },
           { run: 'ok', events: 1, status: 404 },
@@ -123,13 +123,13 @@
     ],
     [
       "a server's own failure is told as it came",
-      { ...DIRECT, script: [{ run: 'ok', events: 1, status: 500 }], route: { resumable: false } },
+      { ...SHORT_PROMPT, script: [{ run: 'ok', events: 1, status: 500 }], route: { resumable: false } },
       { calls: ['run d'], log: ['1;', 'end'], suspects: 1 },
     ],
     [
       "a server's own failure is not told where another may run it",
       {
-        ...DIRECT,
+        ...SHORT_PROMPT,
         script: [
           { run: 'ok', events: 1, status: 500 },
           { run: 'ok', events: 1 },
@@ -139,18 +139,18 @@
     ],
     [
       "a server's own 503 without a word that it did not run is told as no promise",
-      { ...DIRECT, script: [{ run: 'ok', events: 1, status: 503 }], route: { resumable: false } },
+      { ...SHORT_PROMPT, script: [{ run: 'ok', events: 1, status: 503 }], route: { resumable: false } },
       { calls: ['run d'], code: 'broken', ran: 'maybe', suspects: 1 },
     ],
     [
       'nor is its 429, its 408',
-      { ...DIRECT, script: [{ run: 'ok', events: 1, status: 429 }], route: { kind: 'once', resumable: false } },
+      { ...SHORT_PROMPT, script: [{ run: 'ok', events: 1, status: 429 }], route: { kind: 'once', resumable: false } },
       { calls: ['run d'], code: 'broken', ran: 'maybe', suspects: 1 },
     ],
     ['no route is said as such', { script: [], request: { path: '/other/' } }, { calls: [], code: 'unknownroute' }],
     [
       'a request waits a little for a young list',
-      { ...DIRECT, script: [{ run: 'ok', events: 1 }], old: true, renewed: 400 },
+      { ...SHORT_PROMPT, script: [{ run: 'ok', events: 1 }], old: true, renewed: 400 },
       { calls: ['run d'], log: ['1;', 'end'] },
     ],
     ['an old list sends nothing', { script: [], old: true }, { calls: [], code: 'oldlist', ran: 'no' }],
@@ -161,19 +161,19 @@
     ],
     [
       'no server is said at once',
-      { ...DIRECT, script: [], servers: [server('p1', 'prefill')] },
+      { ...SHORT_PROMPT, script: [], servers: [server('p1', 'prefill')] },
       { calls: [], code: 'noserver', ran: 'no' },
     ],
     [
       'a server that leaves is sent nothing',
-      { ...DIRECT, script: [], servers: [server('d1', 'decode', { state: 'draining' })] },
+      { ...SHORT_PROMPT, script: [], servers: [server('d1', 'decode', { state: 'draining' })] },
       { calls: [], code: 'noserver', ran: 'no' },
     ],
   ];
   for (const [name, setting, want] of cases) {
     it(name, async () => {
       const got = await play(setting);
-      expect(d(got.calls)).to.deep.equal(want.calls);
+      expect(withoutServerNumbers(got.calls)).to.deep.equal(want.calls);
       if (want.log) expect(got.log.slice(1)).to.deep.equal(want.log);
       else expect(got.log).to.deep.equal([]);
       expect(got.verdict?.code).to.equal(want.code);
@@ -192,27 +192,27 @@
     expect(first.verdict).to.include({ code: 'deferred', ran: 'no' });
     expect(first.verdict?.after).to.be.within(0.3, 2.6);
     const back = await play({ script: [{ read: 'ok' }, { run: 'ok', events: 1 }], busy, wait: 6000 });
-    expect(d(back.calls)).to.deep.equal(['read p1', 'run d from h1']);
+    expect(withoutServerNumbers(back.calls)).to.deep.equal(['read p1', 'run d from h1']);
     expect(back.log.at(-1)).to.equal('end');
   });
 
   it('moves a silent stream that may go on elsewhere, and suspects the server', async () => {
     const got = await play({
-      ...DIRECT,
+      ...SHORT_PROMPT,
       script: [
         { run: 'ok', events: 1, hang: true },
         { run: 'ok', events: 1 },
       ],
       after: async (t) => t.pass(2000),
     });
-    expect(d(got.calls)).to.deep.equal(['run d', 'run d after 1']);
+    expect(withoutServerNumbers(got.calls)).to.deep.equal(['run d', 'run d after 1']);
     expect(got.log.slice(1)).to.deep.equal(['1;', '2;', 'end']);
     expect(got.suspected).to.have.length(1);
   });
 
   it('stays with a silent stream that may not', async () => {
     const got = await play({
-      ...DIRECT,
+      ...SHORT_PROMPT,
       route: { resumable: false },
       script: [{ run: 'ok', events: 1, hang: true }],
       after: async (t, sink) => {
@@ -227,7 +227,7 @@
 
   it('stops at the server once the client has gone', async () => {
     const got = await play({
-      ...DIRECT,
+      ...SHORT_PROMPT,
       script: [{ run: 'ok', hang: true }],
       after: async (t, sink) => {
         await t.settle();
--- a/packages/router/src/serve.ts
+++ b/packages/router/src/serve.ts
@@ -3,11 +3,11 @@
 import { Deferral } from './deferral.js';
 import { FirstTries } from './firsttries.js';
 import type { Job } from './job.js';
-import { KeyCheck } from './keycheck.js';
+import { RequestAuthentication } from './keycheck.js';
 import { Reader } from './reader.js';
 import { ReadDeadline } from './readdeadline.js';
 import type { Request } from './request.js';
-import { Runner } from './runner.js';
+import { DecodeRunner } from './runner.js';
 import type { ServeTools } from './servetools.js';
 import { Urgency } from './urgency.js';
 
@@ -34,30 +34,31 @@
  * that can't run it twice, within the route's tries, and from the budget; the answer is given up on at once or goes on;
  * nothing is taken that its client may still wait for when this daemon ends.
  */
-export const Serve = {
+export const RequestHandler = {
   make(t: ServeTools) {
     const now = (): number => t.world.clock.mono();
     const read = Reader.make(t),
-      run = Runner.make(t);
+      run = DecodeRunner.make(t);
     const firsts = FirstTries.make();
     const refuse = (code: string, why: string): Verdict => Verdicts.not(code, why, RETRY_SOON);
     const accept = (request: Request, sink: AnswerSink): Job | Verdict => {
-      const shut = t.shut();
+      const shut = t.unavailable();
       if (shut) return shut;
       const routes = t.routes();
       if (!routes) return refuse('noconfiguration', 'No configuration is in force yet.');
       const found = routes.find(request.host, request.path);
       if (!found) return Verdicts.not('unknownroute', `No route for ${request.host}${request.path}.`);
-      if (KeyCheck.needed(routes, found.route) && !t.keysKnown())
+      if (RequestAuthentication.isKeyRequired(routes, found.route) && !t.keysCurrent())
         return refuse('keysunsure', 'Keys may have been taken away since this daemon last heard.');
-      const holder = KeyCheck.holder(routes, found.route, request.key);
+      const holder = RequestAuthentication.authenticate(routes, found.route, request.key);
       if (holder.err) return holder.val;
       const tenant = holder.val;
-      const service = routes.pick(found, t.world.chance.real());
+      const service = routes.pickService(found, t.world.chance.real());
       if (!service) return refuse('noservice', `Route ${found.route.name} leads nowhere.`);
       const due = Math.min(request.due, now() + found.route.timeout);
       // No foresight bounds an answer that has begun: only the client's wait and the route's timeout do.
-      if (t.left() < due - now()) return Verdicts.not('leaving', 'This daemon may end before it.', RETRY_ELSEWHERE);
+      if (t.remainingLifetimeMs() < due - now())
+        return Verdicts.not('leaving', 'This daemon may end before it.', RETRY_ELSEWHERE);
       if (!t.list.young()) return refuse('oldlist', "The platform's list is too old to send by.");
       t.log.note(request.id, 'taken', {
         at: service.name,
@@ -68,9 +69,9 @@
       const left = new AbortController();
       sink.left(() => left.abort('gone'));
       return {
-        ...{ request: KeyCheck.withheld(routes, request, tenant), sink, service, left },
-        ...{ route: found.route, rank: tenant?.rank ?? found.route.rank, after: request.after },
-        first: firsts.is(found.route, request.wait),
+        ...{ request: RequestAuthentication.withoutCredentials(routes, request, tenant), writer: sink, service, left },
+        ...{ route: found.route, rank: tenant?.rank ?? found.route.rank, lastEventId: request.after },
+        isFirstTry: firsts.is(found.route, request.wait),
         ahead: false,
         due,
         ...{
@@ -78,18 +79,18 @@
           reads: 0,
           unpaid: false,
           weighed: null,
-          events: 0,
+          eventsSent: 0,
           handle: null,
-          begun: false,
+          responseStarted: false,
           status: 0,
-          maybe: false,
+          mayHaveRun: false,
           fault: null,
         },
         avoid: new Set(),
       };
     };
     let hasServed = false;
-    const isReady = (): boolean => t.shut() === null && t.routes() !== null && t.list.young();
+    const isReady = (): boolean => t.unavailable() === null && t.routes() !== null && t.list.young();
     /** Waits a little for the newest configuration and a young list; what is still missing then is told by `accept`. */
     const waitUntilReady = async (sink: AnswerSink): Promise<void> => {
       const until = now() + (hasServed ? READY_WAIT : FIRST_READY_WAIT);
@@ -102,7 +103,7 @@
       if (!p) return null;
       job.weighed = t.placement.weigh(job.service, job.route, p, job.avoid);
       const { ms, alone } = job.weighed;
-      const c = { foreseen: ms, alone, aim: job.route.aim, left: job.due - now(), first: job.first };
+      const c = { foreseen: ms, alone, aim: job.route.aim, left: job.due - now(), first: job.isFirstTry };
       const wait = Deferral.of(c, t.world.chance.real());
       return wait === null ? null : wait / 1000;
     };
@@ -130,10 +131,10 @@
     /** Whether the key still serves its request; one that has come to another tenant serves it as that one's. */
     const keyServes = (job: Job): boolean => {
       const routes = t.routes();
-      if (!routes?.tenants.required) return true;
-      const holder = KeyCheck.holder(routes, job.route, job.request.key);
+      if (!routes?.tenants.keysRequired) return true;
+      const holder = RequestAuthentication.authenticate(routes, job.route, job.request.key);
       if (holder.err) return false;
-      job.request = KeyCheck.withheld(routes, job.request, holder.val);
+      job.request = RequestAuthentication.withoutCredentials(routes, job.request, holder.val);
       return true;
     };
     /** Reads and runs, again and again where that is safe, until there is an answer or no way on. */
@@ -163,13 +164,13 @@
       if (job.request.prompt) await t.broker.refresh(LOADS_FOR_READING);
       const later = deferral(job);
       if (shed(job)) return finish(job, Verdicts.not('overload', 'Too much waits before it.', RETRY_LATER));
-      job.ahead = !job.first && !t.shedders.of(job.service.name).active();
+      job.ahead = !job.isFirstTry && !t.shedders.of(job.service.name).active();
       if (later !== null) return finish(job, Verdicts.not('deferred', 'It would be late now.', later));
       if (!t.placement.room(job.service, job.request.prompt) && !(await waitForRoom(job)))
         return finish(job, Verdicts.not('full', 'Every server is full.', RETRY_LATER));
       await readAndRun(job);
       if (job.handle) void t.engine.free(job.handle);
-      if (job.begun) {
+      if (job.responseStarted) {
         const whole = job.fault === null && job.arrivals > 0;
         if (whole) sink.end();
         else sink.cut();
@@ -177,8 +178,8 @@
         return null;
       }
       if (sink.gone()) return finish(job, Verdicts.maybe('gone', 'The client went.'));
-      if (!job.maybe && !keyServes(job)) return finish(job, Verdicts.not('revokedkey', 'Its key was taken away.'));
-      if (job.maybe) return finish(job, Verdicts.maybe('broken', job.fault?.why ?? 'It may have run.'));
+      if (!job.mayHaveRun && !keyServes(job)) return finish(job, Verdicts.not('revokedkey', 'Its key was taken away.'));
+      if (job.mayHaveRun) return finish(job, Verdicts.maybe('broken', job.fault?.why ?? 'It may have run.'));
       return finish(job, refuse('noserver', job.fault?.why ?? 'No server can take this now.'));
     };
     /** Null once the sink has had its answer; else why there is none, for the client to be told at once. */
@@ -191,7 +192,7 @@
         return job;
       }
       const { key } = job.request;
-      const over = key === null || job.route.open === true ? null : t.revocation.begin(key, job.left);
+      const over = key === null || job.route.open === true ? null : t.revocation.track(key, job.left);
       const verdict = await handle(job, sink);
       over?.();
       return verdict;
--- a/packages/router/src/servetools.ts
+++ b/packages/router/src/servetools.ts
@@ -22,12 +22,12 @@
   world: World;
   engine: Engine;
   /** Null while requests may be served; else why not. */
-  shut: () => Verdict | null;
+  unavailable: () => Verdict | null;
   /** Whether what this daemon knows of keys may still be gone by. */
-  keysKnown: () => boolean;
+  keysCurrent: () => boolean;
   revocation: ReturnType<typeof KeyRevocation.make>;
   /** ms that this daemon still has for a request taken now. */
-  left: () => number;
+  remainingLifetimeMs: () => number;
   routes: () => Routes | null;
   list: ServerListing;
   loads: ReturnType<typeof ServerLoads.make>;
--- a/packages/router/src/stand.test.ts
+++ b/packages/router/src/stand.test.ts
@@ -91,14 +91,14 @@
 });
 
 /** What a scripted engine does at the next call: give a handle, give events and an end, or fail after some. */
-export type Act =
+export type ScriptedResult =
   | { read: 'ok' | SendFault['code']; ran?: SendFault['ran'] }
   | { run: 'ok' | SendFault['code']; ran?: SendFault['ran']; events?: number; hang?: boolean; status?: number };
 
 /** A send to a server, as its engine was asked for it. */
-export type Asked = { request: Request; urgency: number };
+export type SentRequest = { request: Request; urgency: number };
 
-export const testEngine = (script: Act[], calls: string[], asked: Asked[] = []): Engine => {
+export const testEngine = (script: ScriptedResult[], calls: string[], asked: SentRequest[] = []): Engine => {
   let n = 0;
   const fault = (code: SendFault['code'], ran: SendFault['ran'] | undefined): Result<never, SendFault> =>
     Err({ code, ran: ran ?? (code === 'broken' || code === 'late' || code === 'gone' ? 'maybe' : 'no'), why: code });
@@ -143,9 +143,9 @@
   };
 };
 
-export const testSink = () => {
+export const testResponseWriter = () => {
   const log: string[] = [];
-  let leave: () => void = () => undefined;
+  let disconnect: () => void = () => undefined;
   let away = false;
   const sink: AnswerSink = {
     head: (status, headers) => void log.push(`${status} ${headers.map(([, v]) => v).join()}`),
@@ -157,7 +157,7 @@
     cut: () => void log.push('cut'),
     gone: () => away,
     left: (fn) => {
-      leave = fn;
+      disconnect = fn;
     },
   };
   return {
@@ -165,7 +165,7 @@
     log,
     leave(): void {
       away = true;
-      leave();
+      disconnect();
     },
   };
 };
--- a/packages/router/src/statusdesk.ts
+++ b/packages/router/src/statusdesk.ts
@@ -27,7 +27,7 @@
 /** Where a router or control replica tells operators how it stands. Invariant: nothing is gathered or sent unasked. */
 export const StatusDesk = {
   forms: {
-    ask: Type.Object({ servers: Type.Boolean() }, { additionalProperties: false }),
+    request: Type.Object({ servers: Type.Boolean() }, { additionalProperties: false }),
     told: DaemonStatus,
   },
   make(t: Tools): void {
@@ -50,7 +50,7 @@
           const row = d.body as SheetRow;
           return { server: row.server, stage: row.part, done: row.stage === 'serving', by: row.by, mark: d.mark };
         });
-    t.post.on('status.tell', StatusDesk.forms.ask, (body): DaemonStatus => {
+    t.post.on('status.tell', StatusDesk.forms.request, (body): DaemonStatus => {
       const list = t.list();
       const mark: Mark | null = t.shelf.mark('list');
       const servers = (): Server[] => ListRows.open(held());
--- a/packages/router/src/tables.test.ts
+++ b/packages/router/src/tables.test.ts
@@ -29,7 +29,7 @@
     const services = ['a', 'b', 'c'].map((name) => ({ ...routing().services[0]!, name }));
     const t = RouteTable.make({ ...routing({ split }), services });
     const found = t.find('h.example', '/p/x')!;
-    const names = [0, 0.89, 0.9, 0.999].map((x) => t.pick(found, x)?.name);
+    const names = [0, 0.89, 0.9, 0.999].map((x) => t.pickService(found, x)?.name);
     expect(names).to.deep.equal(['a', 'a', 'b', 'b']);
   });
 });
--- a/packages/router/src/tenantdirectory.ts
+++ b/packages/router/src/tenantdirectory.ts
@@ -10,9 +10,9 @@
     for (const tenant of tenants ?? []) for (const key of tenant.keys) holders.set(key, tenant);
     return {
       /** Whether requests need a key, but for those of open routes. */
-      required: tenants !== undefined,
+      keysRequired: tenants !== undefined,
       /** The tenant that holds the key of this digest. */
-      holder: (key: string | null): Tenant | null => (key === null ? null : (holders.get(key) ?? null)),
+      tenantForKey: (key: string | null): Tenant | null => (key === null ? null : (holders.get(key) ?? null)),
     };
   },
 };
--- a/packages/router/src/tenantkeys.test.ts
+++ b/packages/router/src/tenantkeys.test.ts
@@ -1,6 +1,6 @@
 import { KeyDigest, type Tenant } from '@pumicebarrow/forms';
 import { expect } from 'chai';
-import { DIRECT, play, type Setting } from './play.test.js';
+import { SHORT_PROMPT, play, type Scenario } from './play.test.js';
 import { prompt } from './stand.test.js';
 
 const [MINE, THEIRS] = [KeyDigest.of('mine'), KeyDigest.of('theirs')];
@@ -10,14 +10,14 @@
 ];
 const without = [{ name: 'one', keys: [] }, tenants[1]!];
 const asking = (key: string | null) => ({
-  ...DIRECT.request,
+  ...SHORT_PROMPT.request,
   ...{ key, headers: [['Authorization', 'Token mine'] as const, ['X-Kept', '1'] as const] },
 });
 const run = { run: 'ok', events: 1 } as const;
 const BOUND = 5000;
 
 describe('a request under the keys of tenants', () => {
-  const cases: [string, Setting, { code?: string; tenant?: string | null; headers?: string[] }][] = [
+  const cases: [string, Scenario, { code?: string; tenant?: string | null; headers?: string[] }][] = [
     [
       'is served as the tenant that holds its key, and the key goes no further',
       { script: [run], tenants, request: asking(THEIRS) },
--- a/packages/router/src/words.ts
+++ b/packages/router/src/words.ts
@@ -13,7 +13,7 @@
 /** What routers and control replicas say to each other, beside purge and the core's own words. */
 export const Words = {
   /** A router tells what it holds. */
-  checkin: Type.Object(
+  checkinRequest: Type.Object(
     {
       version: Type.Integer(),
       list: maybeMark,
@@ -51,5 +51,5 @@
    * mark, in fours of place, runs, reads and hundreds of tokens, and by name those that it does not show.
    */
   allLoads: Type.Object({ places: Type.Array(Type.Integer(), { maxItems: 16384 }), rows: LoadRows }, shut),
-  done: Type.Object({ ok: Type.Boolean() }, shut),
+  acknowledgement: Type.Object({ ok: Type.Boolean() }, shut),
 };
