--- a/packages/router/src/configurationcalls.ts
+++ b/packages/router/src/configurationcalls.ts
@@ -10,18 +10,18 @@
  * Invariant: what is read is what the tail holds under its lease; nothing is answered from a copy held here.
  */
 export const ConfigurationApi = {
-  make(control: ControlClient) {
+  make(controlClient: ControlClient) {
     return {
       /** One configuration takes the place of another in one step; the same one again is told the same again. */
       async replace(base: number, intent: Routing): Promise<Verdict> {
         const id = Hash.of([base, intent.source]);
-        const { ruling } = await control.write({ do: 'replace', id, base, intent }, WRITE_TIMEOUT_MS);
+        const { ruling } = await controlClient.write({ do: 'replace', id, base, intent }, WRITE_TIMEOUT_MS);
         return ruling.verdict;
       },
       async read(): Promise<Result<Routing | null, string>> {
-        const now = await control.read(undefined, READ_TIMEOUT_MS);
-        if (!now) return Err('The core does not reply; nothing was read.');
-        const intent = now.charter?.body ?? null;
+        const current = await controlClient.read(undefined, READ_TIMEOUT_MS);
+        if (!current) return Err('The core does not reply; nothing was read.');
+        const intent = current.charter?.body ?? null;
         return Ok(intent && 'routes' in intent ? intent : null);
       },
     };
--- a/packages/router/src/controlreplica.ts
+++ b/packages/router/src/controlreplica.ts
@@ -13,88 +13,117 @@
 import { StageDuty } from './stageduty.js';
 import { StatusDesk } from './statusdesk.js';
 
-type Core = { losses: number; first: boolean; lease: number } & {
+type CoreOptions = { losses: number; first: boolean; lease: number } & {
   /** How an operator's text becomes a routing; without it no plan can be made here. */
   read?: (text: string) => Result<Routing, Fault[]>;
 };
 
 /** A core daemon of a routed fleet put together: the registry, the duties, and the operators' desk. */
 export const ControlReplica = {
-  async make(world: World, startup: Omit<RouterOptions, 'revocation'> & Core, source: ListSource, engine: Engine) {
-    const made = await Registrar.make(world, {
-      ...{ id: startup.id, addr: startup.addr, site: startup.zone, seeds: startup.seeds, tunes: startup.tunes },
-      ...{ losses: startup.losses, first: startup.first, sound: SharedSound.doc, known: () => desk.routers() },
+  async make(
+    world: World,
+    options: Omit<RouterOptions, 'revocation'> & CoreOptions,
+    listSource: ListSource,
+    serverClient: Engine,
+  ) {
+    const created = await Registrar.make(world, {
+      ...{ id: options.id, addr: options.addr, site: options.zone, seeds: options.seeds, tunes: options.tunes },
+      ...{
+        losses: options.losses,
+        first: options.first,
+        sound: SharedSound.doc,
+        known: () => checkinHandler.routers(),
+      },
     });
-    if (made.err) return made;
-    const d = made.val;
+    if (created.err) return created;
+    const node = created.val;
     const { clock } = world;
-    const view = () => d.core.view();
-    const head = (): boolean => {
-      const v = view();
-      return v !== null && Views.same(Views.head(v), d.ident);
+    const currentView = () => node.core.view();
+    const isHead = (): boolean => {
+      const view = currentView();
+      return view !== null && Views.same(Views.head(view), node.ident);
     };
-    const speaks = (): boolean => head() && d.core.live();
+    const isActingHead = (): boolean => isHead() && node.core.live();
     /** The agreed view's epoch, at the one daemon that may speak for it: no two have one, and it only rises. */
-    const fence = (): number | null => (speaks() ? (view()?.epoch ?? null) : null);
-    const duty = ServerListPublisher.make({
-      ...{ clock, source, purge: d.purge },
+    const fence = (): number | null => (isActingHead() ? (currentView()?.epoch ?? null) : null);
+    const listPublisher = ServerListPublisher.make({
+      ...{ clock, listSource, purge: node.purge },
       fence,
-      every: Math.max(400, startup.drain / 4),
+      intervalMs: Math.max(400, options.drain / 4),
+    });
+    const version = (): number => node.core.chain.passed()?.charter?.version ?? 0;
+    const checkinHandler = ReplicaHandler.make({
+      clock,
+      post: node.post,
+      view: currentView,
+      speaks: isActingHead,
+      version,
+      list: listPublisher.current,
     });
-    const version = (): number => d.core.chain.passed()?.charter?.version ?? 0;
-    const desk = ReplicaHandler.make({ clock, post: d.post, view, speaks, version, list: duty.now });
     /** ms that a server of a service is away while it changes its stage, as the configuration says. */
-    const away = (service: string): number => {
-      const intent = d.core.chain.passed()?.charter?.body;
+    const stageChangeMs = (service: string): number => {
+      const intent = node.core.chain.passed()?.charter?.body;
       if (!intent || !('services' in intent)) return 0;
-      return intent.services.find((s) => s.name === service)?.engine?.change ?? 0;
+      return intent.services.find((candidate) => candidate.name === service)?.engine?.change ?? 0;
     };
-    const stages = StageDuty.make({
-      ...{ clock, log: world.log('stages'), engine, purge: d.purge, shelf: d.shelf, fence, self: d.ident.id },
-      ...{ servers: duty.servers, load: desk.load, lease: startup.lease, away },
+    const stageBalancer = StageDuty.make({
+      ...{
+        clock,
+        log: world.log('stages'),
+        engine: serverClient,
+        purge: node.purge,
+        shelf: node.shelf,
+        fence,
+        self: node.ident.id,
+      },
+      ...{ servers: listPublisher.servers, load: checkinHandler.load, lease: options.lease, away: stageChangeMs },
     });
-    const loadTable = LoadTable.make(clock, d.post, d.shelf);
-    IntentDesk.make(d.post, d.line, startup.read ?? null);
+    const loadAggregator = LoadTable.make(clock, node.post, node.shelf);
+    IntentDesk.make(node.post, node.line, options.read ?? null);
     StatusDesk.make({
-      ...{ clock, post: d.post, shelf: d.shelf, self: () => d.ident, view, head: speaks },
-      state: d.core.life,
-      sure: () => d.core.live() && d.core.chain.passed() !== null,
+      ...{ clock, post: node.post, store: node.shelf, self: () => node.ident, view: currentView, isActingHead },
+      state: node.core.life,
+      isConfirmed: () => node.core.live() && node.core.chain.passed() !== null,
       list: () => {
-        const now = duty.now();
-        return now ? { age: now.age, young: now.age < startup.drain } : null;
+        const published = listPublisher.current();
+        return published ? { age: published.age, isFresh: published.age < options.drain } : null;
+      },
+      ...{
+        msSinceHeadReply: () => null,
+        suspected: () => [],
+        knownDaemons: () => [...node.purge.peers(), ...checkinHandler.routers()],
       },
-      ...{ silent: () => null, suspected: () => [], known: () => [...d.purge.peers(), ...desk.routers()] },
     });
     return Ok({
       ...{
-        core: d.core,
-        purge: d.purge,
-        shelf: d.shelf,
-        post: d.post,
-        line: d.line,
-        ident: d.ident,
-        desk,
-        duty,
-        stages,
+        core: node.core,
+        purge: node.purge,
+        shelf: node.shelf,
+        post: node.post,
+        line: node.line,
+        ident: node.ident,
+        desk: checkinHandler,
+        duty: listPublisher,
+        stages: stageBalancer,
       },
-      ...ConfigurationApi.make(d.line),
-      metrics: (): MetricFamily[] => CoreMetrics.families(d),
+      ...ConfigurationApi.make(node.line),
+      metrics: (): MetricFamily[] => CoreMetrics.families(node),
       start(): void {
-        d.start();
-        duty.start();
-        stages.start();
-        loadTable.start();
+        node.start();
+        listPublisher.start();
+        stageBalancer.start();
+        loadAggregator.start();
       },
       async leave(): Promise<void> {
-        duty.stop();
-        stages.stop();
-        await d.leave();
+        listPublisher.stop();
+        stageBalancer.stop();
+        await node.leave();
       },
       stop(): void {
-        duty.stop();
-        stages.stop();
-        loadTable.stop();
-        d.stop();
+        listPublisher.stop();
+        stageBalancer.stop();
+        loadAggregator.stop();
+        node.stop();
       },
     });
   },
--- a/packages/router/src/daemonstatus.ts
+++ b/packages/router/src/daemonstatus.ts
@@ -3,8 +3,9 @@
 import { Type, type Static } from 'typebox';
 import { Server } from './server.js';
 
-const shut = { additionalProperties: false } as const;
-const Maybe = <T extends Parameters<typeof Type.Union>[0][number]>(form: T) => Type.Union([form, Type.Null()]);
+const strict = { additionalProperties: false } as const;
+const Nullable = <Schema extends Parameters<typeof Type.Union>[0][number]>(schema: Schema) =>
+  Type.Union([schema, Type.Null()]);
 
 /** What one daemon of a routed fleet says of itself. Every `age` and `silent` is in ms, null where there is none. */
 export const DaemonStatus = Type.Object(
@@ -12,31 +13,33 @@
     who: Ident,
     state: Type.String(),
     sure: Type.Boolean({ description: 'whether it knows that its configuration is not an older one than it had' }),
-    view: Maybe(View),
+    view: Nullable(View),
     head: Type.Boolean({ description: 'whether it is the head and may speak as such at this instant' }),
-    configuration: Maybe(Type.Object({ revision: Type.Integer(), version: Type.Integer(), age: Type.Number() }, shut)),
+    configuration: Nullable(
+      Type.Object({ revision: Type.Integer(), version: Type.Integer(), age: Type.Number() }, strict),
+    ),
     list: Type.Object(
       {
-        mark: Maybe(Mark),
-        age: Maybe(Type.Number()),
+        mark: Nullable(Mark),
+        age: Nullable(Type.Number()),
         young: Type.Boolean({ description: 'whether it may be sent by' }),
         servers: Type.Integer(),
       },
-      shut,
+      strict,
     ),
-    silent: Maybe(Type.Number({ description: 'since the head last replied to it as such' })),
+    silent: Nullable(Type.Number({ description: 'since the head last replied to it as such' })),
     suspected: Type.Array(Type.String()),
     known: Type.Array(Ident),
-    servers: Maybe(Type.Array(Server)),
-    orders: Maybe(
+    servers: Nullable(Type.Array(Server)),
+    orders: Nullable(
       Type.Array(
         Type.Object(
           { server: Type.String(), stage: Type.String(), done: Type.Boolean(), by: Type.String(), mark: Mark },
-          shut,
+          strict,
         ),
       ),
     ),
   },
-  shut,
+  strict,
 );
 export type DaemonStatus = Static<typeof DaemonStatus>;
--- a/packages/router/src/duties.test.ts
+++ b/packages/router/src/duties.test.ts
@@ -26,7 +26,7 @@
     };
     const purge = { publish: (d: Doc) => shelf.offer(d) } as unknown as Purging;
     const duty = ServerListPublisher.make({
-      ...{ clock: time.clock, source, purge, every: 1000, fence: () => state.fence },
+      ...{ clock: time.clock, listSource: source, purge, intervalMs: 1000, fence: () => state.fence },
     });
     return { time, shelf, state, duty };
   };
@@ -37,7 +37,7 @@
     await time.pass(1000);
     await duty.tick();
     expect(shelf.mark('list')).to.deep.equal([3, 0]);
-    expect(duty.now()).to.deep.equal({ mark: [3, 0], age: 0 });
+    expect(duty.current()).to.deep.equal({ mark: [3, 0], age: 0 });
   });
   it('publishes a change under a step that rises, and under a new fence anew', async () => {
     const { time, shelf, state, duty } = make();
@@ -57,7 +57,7 @@
     state.fence = null;
     await time.pass(1000);
     await duty.tick();
-    expect([state.polls, duty.now()]).to.deep.equal([1, null]);
+    expect([state.polls, duty.current()]).to.deep.equal([1, null]);
   });
   it('publishes nothing that came back after the fence was lost', async () => {
     const { shelf, state, duty } = make();
@@ -72,7 +72,7 @@
     state.list = null;
     await time.pass(1000);
     await duty.tick();
-    expect(duty.now()?.age).to.equal(1000);
+    expect(duty.current()?.age).to.equal(1000);
   });
 });
 
--- a/packages/router/src/keycheck.ts
+++ b/packages/router/src/keycheck.ts
@@ -13,11 +13,11 @@
   /** Whether a request needs a key. */
   isKeyRequired: (routes: Routes, route: Route): boolean => routes.tenants.keysRequired && route.open !== true,
   /** The tenant that a request is of; null where no key is needed and no tenant holds the one shown. */
-  authenticate(routes: Routes, route: Route, key: string | null): Result<Tenant | null, Verdict> {
+  authenticate(routes: Routes, route: Route, keyDigest: string | null): Result<Tenant | null, Verdict> {
     if (!routes.tenants.keysRequired) return Ok(null);
-    const tenant = routes.tenants.tenantForKey(key);
+    const tenant = routes.tenants.tenantForKey(keyDigest);
     if (tenant !== null || route.open === true) return Ok(tenant);
-    if (key === null) return Err(Verdicts.not('nokey', 'The request shows no key.'));
+    if (keyDigest === null) return Err(Verdicts.not('nokey', 'The request shows no key.'));
     return Err(Verdicts.not('unknownkey', 'No tenant holds the key that the request shows.'));
   },
   /** The request as servers may see it. */
--- a/packages/router/src/keyrevocation.ts
+++ b/packages/router/src/keyrevocation.ts
@@ -10,30 +10,30 @@
  * key is held again by then goes on.
  */
 export const KeyRevocation = {
-  make(clock: Clock, routes: () => Routes | null, bound: () => number) {
-    const underWay = new Map<string, Set<AbortController>>();
-    const held = (key: string): boolean => {
-      const now = routes();
-      return now === null || !now.tenants.keysRequired || now.tenants.tenantForKey(key) !== null;
+  make(clock: Clock, routes: () => Routes | null, boundMs: () => number) {
+    const controllersByKey = new Map<string, Set<AbortController>>();
+    const isHeld = (key: string): boolean => {
+      const current = routes();
+      return current === null || !current.tenants.keysRequired || current.tenants.tenantForKey(key) !== null;
     };
-    const end = (key: string): void => {
-      if (held(key)) return;
-      for (const stop of underWay.get(key) ?? []) stop.abort('revoked');
+    const abortIfRevoked = (key: string): void => {
+      if (isHeld(key)) return;
+      for (const controller of controllersByKey.get(key) ?? []) controller.abort('revoked');
     };
     return {
       /** A request is under way with this key, until the function given back is called. */
-      track(key: string, stop: AbortController): () => void {
-        const same = underWay.get(key) ?? new Set();
-        underWay.set(key, same.add(stop));
+      track(key: string, controller: AbortController): () => void {
+        const controllers = controllersByKey.get(key) ?? new Set();
+        controllersByKey.set(key, controllers.add(controller));
         return () => {
-          same.delete(stop);
-          if (same.size === 0 && underWay.get(key) === same) underWay.delete(key);
+          controllers.delete(controller);
+          if (controllers.size === 0 && controllersByKey.get(key) === controllers) controllersByKey.delete(key);
         };
       },
       /** Another configuration is in force. */
       configurationChanged(): void {
-        for (const key of underWay.keys())
-          if (!held(key)) clock.after(Math.max(0, bound() - ABORT_MARGIN_MS), () => end(key));
+        for (const key of controllersByKey.keys())
+          if (!isHeld(key)) clock.after(Math.max(0, boundMs() - ABORT_MARGIN_MS), () => abortIfRevoked(key));
       },
     };
   },
--- a/packages/router/src/listduty.ts
+++ b/packages/router/src/listduty.ts
@@ -4,61 +4,64 @@
 import type { ListSource } from './listsource.js';
 import type { Server } from './server.js';
 
-type Tools = {
+type Dependencies = {
   clock: Clock;
-  source: ListSource;
+  listSource: ListSource;
   purge: Purging;
   /** The fence under which this daemon has the duty at this instant; null when it hasn't. */
   fence: () => number | null;
-  every: number;
+  intervalMs: number;
 };
-type Held = { mark: Mark; at: number; sum: string; servers: readonly Server[] };
-const LOOK = 100;
+type PublishedList = { mark: Mark; requestedAt: number; digest: string; servers: readonly Server[] };
+const CHECK_INTERVAL_MS = 100;
 
 /**
  * One daemon asks the platform for the list, and purge passes it on. Invariants: it is published only under a fence
  * that is live at that instant, with a step that rises; its age counts from before it was asked for.
  */
 export const ServerListPublisher = {
-  make(t: Tools) {
-    let held: Held | null = null;
-    let next = -Infinity;
-    let stop: () => void = () => undefined;
-    const take = (servers: readonly Server[], at: number, fence: number): void => {
+  make(deps: Dependencies) {
+    let published: PublishedList | null = null;
+    let nextPollAt = -Infinity;
+    let stopTimer: () => void = () => undefined;
+    const publishIfChanged = (servers: readonly Server[], requestedAt: number, fence: number): void => {
       const body = ListRows.pack(servers),
-        sum = Hash.of(body);
-      if (held && held.mark[0] === fence && held.sum === sum) {
-        held = { ...held, at, servers };
+        digest = Hash.of(body);
+      if (published && published.mark[0] === fence && published.digest === digest) {
+        published = { ...published, requestedAt: requestedAt, servers };
         return;
       }
-      const mark: Mark = [fence, held && held.mark[0] === fence ? held.mark[1] + 1 : 0];
-      if (t.purge.publish({ name: 'list', mark, body })) held = { mark, at, sum, servers };
+      const mark: Mark = [fence, published && published.mark[0] === fence ? published.mark[1] + 1 : 0];
+      if (deps.purge.publish({ name: 'list', mark, body }))
+        published = { mark, requestedAt: requestedAt, digest: digest, servers };
     };
     const tick = async (): Promise<void> => {
-      const fence = t.fence();
+      const fence = deps.fence();
       if (fence === null) {
-        held = null;
+        published = null;
         return;
       }
-      const at = t.clock.mono();
-      if (at < next) return;
-      next = at + t.every;
-      const got = await t.source.poll();
-      if (got.err) {
-        next = t.clock.mono() + t.every / 3;
+      const requestedAt = deps.clock.mono();
+      if (requestedAt < nextPollAt) return;
+      nextPollAt = requestedAt + deps.intervalMs;
+      const result = await deps.listSource.poll();
+      if (result.err) {
+        nextPollAt = deps.clock.mono() + deps.intervalMs / 3;
         return;
       }
-      if (t.fence() === fence) take(got.val, at, fence);
+      if (deps.fence() === fence) publishIfChanged(result.val, requestedAt, fence);
     };
     return {
       start(): void {
-        stop = Timer.every(t.clock, LOOK, tick);
+        stopTimer = Timer.every(deps.clock, CHECK_INTERVAL_MS, tick);
       },
-      stop: (): void => stop(),
+      stop: (): void => stopTimer(),
       tick,
-      now: (): { mark: Mark; age: number } | null =>
-        held && held.mark[0] === t.fence() ? { mark: held.mark, age: t.clock.mono() - held.at } : null,
-      servers: (): readonly Server[] => held?.servers ?? [],
+      current: (): { mark: Mark; age: number } | null =>
+        published && published.mark[0] === deps.fence()
+          ? { mark: published.mark, age: deps.clock.mono() - published.requestedAt }
+          : null,
+      servers: (): readonly Server[] => published?.servers ?? [],
     };
   },
 };
--- a/packages/router/src/outcomelog.ts
+++ b/packages/router/src/outcomelog.ts
@@ -1,32 +1,32 @@
 import { Timer, type Clock, type Log } from '@pumicebarrow/forms';
 
-const EVERY = 5000;
+const LOG_INTERVAL_MS = 5000;
 /** The part of the requests of a period that must have ended otherwise than whole before the period is logged. */
-const UNUSUAL = 0.1;
-const WHOLE = 'whole';
+const MIN_UNSUCCESSFUL_FRACTION = 0.1;
+const COMPLETE_OUTCOME = 'whole';
 
-type Tools = {
+type Dependencies = {
   clock: Clock;
   log: Log;
   /** Requests by outcome since the start. */
-  requests: () => ReadonlyMap<string, number>;
+  requestsByOutcome: () => ReadonlyMap<string, number>;
   /** What waits at the servers, in words. */
-  servers: () => string;
+  serverSummary: () => string;
 };
 
 /** Logs how requests ended, for periods in which many were not answered whole. */
 export const OutcomeLog = {
-  start(t: Tools): () => void {
-    let last: ReadonlyMap<string, number> = new Map();
-    return Timer.every(t.clock, EVERY, () => {
-      const now = t.requests();
-      const ended = [...now].map(([outcome, n]) => [outcome, n - (last.get(outcome) ?? 0)] as const);
-      last = now;
-      const all = ended.reduce((sum, [, n]) => sum + n, 0);
-      const whole = ended.find(([outcome]) => outcome === WHOLE)?.[1] ?? 0;
-      if (all - whole <= all * UNUSUAL) return;
-      const text = ended.flatMap(([outcome, n]) => (n > 0 ? [`${n} ${outcome}`] : [])).join(', ');
-      t.log.say(`Requests ended in ${EVERY / 1000} s: ${text}. ${t.servers()}`);
+  start(deps: Dependencies): () => void {
+    let previous: ReadonlyMap<string, number> = new Map();
+    return Timer.every(deps.clock, LOG_INTERVAL_MS, () => {
+      const current = deps.requestsByOutcome();
+      const ended = [...current].map(([outcome, count]) => [outcome, count - (previous.get(outcome) ?? 0)] as const);
+      previous = current;
+      const total = ended.reduce((sum, [, count]) => sum + count, 0);
+      const complete = ended.find(([outcome]) => outcome === COMPLETE_OUTCOME)?.[1] ?? 0;
+      if (total - complete <= total * MIN_UNSUCCESSFUL_FRACTION) return;
+      const summary = ended.flatMap(([outcome, count]) => (count > 0 ? [`${count} ${outcome}`] : [])).join(', ');
+      deps.log.say(`Requests ended in ${LOG_INTERVAL_MS / 1000} s: ${summary}. ${deps.serverSummary()}`);
     });
   },
 };
--- a/packages/router/src/play.test.ts
+++ b/packages/router/src/play.test.ts
@@ -72,10 +72,10 @@
   if (s.old) await time.pass(2001);
   const loads = ServerLoads.make(),
     health = ServerHealth.make(time.clock),
-    kept = KeptParts.make(() => 400_000),
-    pace = Pace.make(),
-    speed = ServerSpeed.make(time.clock),
-    wait = ReadWait.make(time.clock, () => true);
+    prefixCache = KeptParts.make(() => 400_000),
+    prefillRate = Pace.make(),
+    slowdown = ServerSpeed.make(time.clock),
+    prefillWait = ReadWait.make(time.clock, () => true);
   const terms = { ratio: 0.2, window: 10_000, slack: 0 };
   const budget = Budget.make(
     time.clock,
@@ -92,10 +92,10 @@
     list,
     loads,
     health,
-    kept,
-    pace: pace.now,
-    speed: speed.of,
-    wait: wait.now,
+    kept: prefixCache,
+    pace: prefillRate.now,
+    speed: slowdown.of,
+    wait: prefillWait.now,
     changing: () => () => false,
     linked: () => false,
   };
@@ -110,16 +110,16 @@
     log: steps,
     counters: OutcomeCounters.make(),
     shedders: { of: () => shedder },
-    broker: { refresh: () => (s.asking === undefined ? Promise.resolve() : Timer.nap(time.clock, s.asking)) },
+    loadAggregator: { refresh: () => (s.asking === undefined ? Promise.resolve() : Timer.nap(time.clock, s.asking)) },
     ...{
       world,
-      list,
+      serverList: list,
       loads,
       health,
-      kept,
-      pace,
-      speed,
-      wait,
+      kept: prefixCache,
+      pace: prefillRate,
+      speed: slowdown,
+      wait: prefillWait,
       budgets: { of: () => budget },
       engine: testEngine(s.script, calls, asked),
     },
--- a/packages/router/src/replicahandler.ts
+++ b/packages/router/src/replicahandler.ts
@@ -3,7 +3,7 @@
 import { Nearest } from './nearest.js';
 import { Words } from './words.js';
 
-type Tools = {
+type Dependencies = {
   clock: Clock;
   post: PostBox;
   view: () => View | null;
@@ -13,78 +13,82 @@
   /** The list as this daemon last had it of the platform under the present view. */
   list: () => { mark: Mark; age: number } | null;
 };
-const MOST = 20_000;
-const GONE = 2000;
+const MAX_ROUTERS = 20_000;
+const ROUTER_EXPIRY_MS = 2000;
 /** How many others a router tells of its loads: all of a small fleet, few of a larger one. */
-const PEERS = 16;
-const FEW = 6;
+const ALL_PEERS_LIMIT = 16;
+const PEER_COUNT = 6;
 /** What a router says that it holds while it has no peers. */
-const NONE = Hash.of([]);
+const NO_PEERS_DIGEST = Hash.of([]);
 type Load = { read: number; beside: number; run: number };
-type Seen = { who: Ident; load: Load; until: number };
+type RouterEntry = { ident: Ident; load: Load; expiresAt: number };
 
 /**
  * Where routers check in with the head. What it knows of them is soft: lost with the head, and learnt again.
  * Invariant: rows lie in the order of their ends, as each is set for the same time.
  */
 export const ReplicaHandler = {
-  make(t: Tools) {
-    const seen = new Map<string, Seen>();
-    const nearest = Nearest.make({ mono: t.clock.mono, many: FEW });
-    const drop = (id: string): void => {
-      seen.delete(id);
-      nearest.left(id);
+  make(deps: Dependencies) {
+    const entries = new Map<string, RouterEntry>();
+    const peerSelector = Nearest.make({ mono: deps.clock.mono, many: PEER_COUNT });
+    const remove = (id: string): void => {
+      entries.delete(id);
+      peerSelector.left(id);
     };
-    const tidy = (): void => {
-      const now = t.clock.mono();
-      for (const [id, s] of seen) {
-        if (s.until > now && seen.size <= MOST) break;
-        drop(id);
+    const evictExpired = (): void => {
+      const now = deps.clock.mono();
+      for (const [id, entry] of entries) {
+        if (entry.expiresAt > now && entries.size <= MAX_ROUTERS) break;
+        remove(id);
       }
     };
-    const note = (who: Ident, load: Load): void => {
-      if (!seen.delete(who.id)) nearest.joined(who.id);
-      seen.set(who.id, { who, load, until: t.clock.mono() + GONE });
+    const recordCheckin = (ident: Ident, load: Load): void => {
+      if (!entries.delete(ident.id)) peerSelector.joined(ident.id);
+      entries.set(ident.id, { ident: ident, load, expiresAt: deps.clock.mono() + ROUTER_EXPIRY_MS });
     };
-    const live = (): Seen[] => {
-      tidy();
-      return [...seen.values()];
+    const liveEntries = (): RouterEntry[] => {
+      evictExpired();
+      return [...entries.values()];
     };
     /**
      * The same few for one router for as long as they live, and each router a peer of about as many others. Until all
      * are weighed for it, one that has peers keeps them.
      */
-    const fresh = (who: Ident, held: string): Ident[] | null => {
-      const few = seen.size - (seen.has(who.id) ? 1 : 0) > PEERS;
-      const { ids, whole } = few
-        ? nearest.of(who.id)
-        : { ids: [...seen.keys()].filter((id) => id !== who.id), whole: true };
-      if (!whole && held !== NONE) return null;
-      const now = [...ids].sort().map((id) => seen.get(id)!.who);
-      return Hash.of(now) === held ? null : now;
+    const peersIfChanged = (ident: Ident, heldDigest: string): Ident[] | null => {
+      const isLargeFleet = entries.size - (entries.has(ident.id) ? 1 : 0) > ALL_PEERS_LIMIT;
+      const { ids: peerIds, whole: complete } = isLargeFleet
+        ? peerSelector.of(ident.id)
+        : { ids: [...entries.keys()].filter((id) => id !== ident.id), whole: true };
+      if (!complete && heldDigest !== NO_PEERS_DIGEST) return null;
+      const peers = [...peerIds].sort().map((id) => entries.get(id)!.ident);
+      return Hash.of(peers) === heldDigest ? null : peers;
     };
-    t.post.on('keeper.checkin', Words.checkinRequest, (body, from) => {
-      const ok = t.speaks();
-      const view = t.view();
-      tidy();
-      if (ok) note(from, body.load);
-      const list = ok ? t.list() : null;
+    deps.post.on('keeper.checkin', Words.checkinRequest, (body, from) => {
+      const isActingHead = deps.speaks();
+      const view = deps.view();
+      evictExpired();
+      if (isActingHead) recordCheckin(from, body.load);
+      const publishedList = isActingHead ? deps.list() : null;
       return {
-        ok,
+        ok: isActingHead,
         view: view && view.epoch > body.epoch ? view : null,
-        version: t.version(),
-        list: list?.mark ?? null,
-        age: list?.age ?? 0,
-        routers: seen.size,
-        peers: ok ? fresh(from, body.peers) : null,
+        version: deps.version(),
+        list: publishedList?.mark ?? null,
+        age: publishedList?.age ?? 0,
+        routers: entries.size,
+        peers: isActingHead ? peersIfChanged(from, body.peers) : null,
       };
     });
     return {
-      routers: (): Ident[] => live().map((s) => s.who),
+      routers: (): Ident[] => liveEntries().map((entry) => entry.ident),
       /** What all routers together have under way: prompt tokens at readers, others at decoders, and runs. */
       load: (): Load =>
-        live().reduce(
-          (a, { load }) => ({ read: a.read + load.read, beside: a.beside + load.beside, run: a.run + load.run }),
+        liveEntries().reduce(
+          (sum, { load }) => ({
+            read: sum.read + load.read,
+            beside: sum.beside + load.beside,
+            run: sum.run + load.run,
+          }),
           { read: 0, beside: 0, run: 0 },
         ),
     };
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -43,107 +43,127 @@
 import { StatusDesk } from './statusdesk.js';
 import { Suspicions } from './suspicions.js';
 
-const CHECKIN = 450;
+const CHECKIN_INTERVAL_MS = 450;
 /** Parts of `drain` after which a list is too old to send by, and after which another way to it is sought. */
-const OLDEST = 0.72;
-const WORRY = 0.5;
-const MEMORY = 400_000;
+const MAX_LIST_AGE_RATIO = 0.72;
+const FALLBACK_LIST_AGE_RATIO = 0.5;
+const DEFAULT_KV_CACHE_TOKENS = 400_000;
 
 /** A router daemon put together: purge, its line to the core, the list, and the requests' path. */
 export const Router = {
-  make(world: World, startup: RouterOptions, engine: Engine, source: ListSource) {
+  make(world: World, options: RouterOptions, engine: Engine, source: ListSource) {
     const { clock } = world;
     const log = world.log('router');
     const ident: Ident = {
-      id: startup.id,
+      id: options.id,
       born: Dice.word(world.chance),
-      addr: startup.addr,
-      site: startup.zone,
+      addr: options.addr,
+      site: options.zone,
       role: 'counter',
     };
     const self = (): Ident => ident;
-    const life = interpret(DaemonLife, () => undefined);
-    const is = (): string => life.machine.current;
+    const lifecycle = interpret(DaemonLife, () => undefined);
+    const state = (): string => lifecycle.machine.current;
     /** When no new clients are sent here any more, and when this daemon ends. */
-    let leaving = { turned: Infinity, end: Infinity };
+    let ending = { goneAt: Infinity, endAt: Infinity };
     let routes: Routes | null = null;
     const post = Post.make(world, self);
-    const shelf = Shelf.make(SharedSound.doc);
-    const known = (): readonly Ident[] => Views.idents(line.view());
-    const purge = Purge.make(world, post, self, shelf, startup.tunes, startup.seeds, known);
-    const line = ControlClient.make(world, post, () => [...startup.seeds(), ...purge.peers().map((p) => p.addr)]);
-    const peers = (): readonly Ident[] => purge.peers().filter((p) => p.role === 'counter' && p.id !== ident.id);
-    const awake = Awake.make(clock, () => {
+    const store = Shelf.make(SharedSound.doc);
+    const viewMembers = (): readonly Ident[] => Views.idents(line.view());
+    const purge = Purge.make(world, post, self, store, options.tunes, options.seeds, viewMembers);
+    const line = ControlClient.make(world, post, () => [...options.seeds(), ...purge.peers().map((peer) => peer.addr)]);
+    const routers = (): readonly Ident[] =>
+      purge.peers().filter((peer) => peer.role === 'counter' && peer.id !== ident.id);
+    const suspension = Awake.make(clock, () => {
       list.drop();
-      certainty.lose();
-      if (is() !== 'serving' && is() !== 'draining') return;
+      freshness.lose();
+      if (state() !== 'serving' && state() !== 'draining') return;
       log.warn('This daemon slept. Asking for the newest configuration.');
-      life.send('woke');
-      void certainty.seek();
+      lifecycle.send('woke');
+      void freshness.seek();
     });
     const list = ServerList.make(
       clock,
-      () => startup.drain * OLDEST,
-      () => awake.look(),
+      () => options.drain * MAX_LIST_AGE_RATIO,
+      () => suspension.look(),
     );
-    const version = (): number => shelf.mark('charter')?.[0] ?? 0;
-    const newest = Newest.make({ world, post, line, purge, shelf, self, known: peers, slept: () => awake.slept() });
-    const certainty = Certainty.make({
+    const version = (): number => store.mark('charter')?.[0] ?? 0;
+    const newest = Newest.make({
+      world,
+      post,
+      line,
+      purge,
+      shelf: store,
+      self,
+      known: routers,
+      slept: () => suspension.slept(),
+    });
+    const freshness = Certainty.make({
       clock,
       // One that leaves serves what comes all the same, and asks too.
-      wanted: () => is() === 'asking' || is() === 'draining',
+      wanted: () => state() === 'asking' || state() === 'draining',
       ask: newest.sure,
       found(): void {
-        life.send('sure');
+        lifecycle.send('sure');
         log.say('Serving.');
         void head.tick();
       },
     });
     const loads = ServerLoads.make(clock.mono);
     const load = () => loads.total((id) => list.stage(id) === 'prefill');
-    const head = HeadLine.make({ clock, post, line, shelf, purge, list, version, load, tail: newest.tail });
-    const newsPeers = (): readonly Ident[] => (broker.works() ? [] : head.peers());
-    const news = LoadNews.make({ clock, post, loads, peers: newsPeers, routers: head.routers });
+    const head = HeadLine.make({ clock, post, line, shelf: store, purge, list, version, load, tail: newest.tail });
+    const loadPeers = (): readonly Ident[] => (loadAggregator.works() ? [] : head.peers());
+    const news = LoadNews.make({ clock, post, loads, peers: loadPeers, routers: head.routers });
     const counters = OutcomeCounters.make();
-    const large = (): boolean => (head.routers() ?? 0) > LoadNews.SEEN;
-    const broker = LoadBroker.make({ clock, post, loads, shelf, view: line.view, large, counters });
-    const watch = ListWatch.make({
-      ...{ world, post, list, source, peers },
-      mark: () => (list.shared() ? shelf.mark('list') : null),
-      worry: () => startup.drain * WORRY,
+    const isLargeFleet = (): boolean => (head.routers() ?? 0) > LoadNews.SEEN;
+    const loadAggregator = LoadBroker.make({
+      clock,
+      post,
+      loads,
+      shelf: store,
+      view: line.view,
+      large: isLargeFleet,
+      counters,
+    });
+    const fallback = ListWatch.make({
+      ...{ world, post, list, source, peers: routers },
+      mark: () => (list.shared() ? store.mark('list') : null),
+      worry: () => options.drain * FALLBACK_LIST_AGE_RATIO,
       daemons: head.routers,
     });
     const health = ServerHealth.make(clock),
-      pace = Pace.make(),
+      rate = Pace.make(),
       speed = ServerSpeed.make(clock),
-      wait = ReadWait.make(clock, large);
-    const memory = (): number => routes?.services().find((s) => (s.engine?.memory ?? 0) > 0)?.engine?.memory ?? MEMORY;
-    const kept = KeptParts.make(memory);
+      wait = ReadWait.make(clock, isLargeFleet);
+    const kvCacheTokens = (): number =>
+      routes?.services().find((service) => (service.engine?.memory ?? 0) > 0)?.engine?.memory ??
+      DEFAULT_KV_CACHE_TOKENS;
+    const cache = KeptParts.make(kvCacheTokens);
     const placement = Placement.make({
-      ...{ chance: world.chance, zone: startup.zone, list, loads, health, kept },
-      changing: () => Changing.now(shelf),
+      ...{ chance: world.chance, zone: options.zone, list, loads, health, kept: cache },
+      changing: () => Changing.now(store),
       linked: engine.linked,
-      pace: pace.now,
+      pace: rate.now,
       speed: speed.of,
       wait: wait.now,
     });
-    const budgets = Budgets.make(clock, () => startup.budget, head.routers);
+    const budgets = Budgets.make(clock, () => options.budget, head.routers);
     const shedders = PerService.make(() => LoadShedder.make(clock, world.chance));
     const unavailable = (): Verdict | null => {
-      awake.look();
-      if (is() === 'serving' || (is() === 'draining' && certainty.is())) return null;
+      suspension.look();
+      if (state() === 'serving' || (state() === 'draining' && freshness.is())) return null;
       return Verdicts.not('asking', 'This daemon is learning the newest configuration.', 0.2);
     };
     const revocation = KeyRevocation.make(
       clock,
       () => routes,
-      () => startup.revocation.within,
+      () => options.revocation.within,
     );
-    const keysCurrent = (): boolean => !startup.revocation.everywhere || head.unconfirmed() < startup.revocation.within;
-    const remainingLifetimeMs = (): number => (clock.mono() < leaving.turned ? Infinity : leaving.end - clock.mono());
-    const sightings = Sightings.make({ clock, chance: world.chance, shelf, purge, self: ident.id });
+    const keysCurrent = (): boolean => !options.revocation.everywhere || head.unconfirmed() < options.revocation.within;
+    const remainingLifetimeMs = (): number => (clock.mono() < ending.goneAt ? Infinity : ending.endAt - clock.mono());
+    const sightings = Sightings.make({ clock, chance: world.chance, shelf: store, purge, self: ident.id });
     const { suspect, turned: noteRejection } = Suspicions.make({ log, health, loads, sightings });
-    const steps = RequestLog.make(clock);
+    const requestLog = RequestLog.make(clock);
     const dependencies = {
       world,
       engine,
@@ -151,11 +171,11 @@
       remainingLifetimeMs,
       keysCurrent,
       revocation,
-      list,
+      serverList: list,
       loads,
       health,
-      kept,
-      pace,
+      kept: cache,
+      pace: rate,
       speed,
       wait,
       placement,
@@ -164,20 +184,20 @@
       turned: noteRejection,
       counters,
       shedders,
-      broker,
+      loadAggregator,
     };
-    const serve = RequestHandler.make({ ...dependencies, log: steps, routes: () => routes });
+    const serve = RequestHandler.make({ ...dependencies, log: requestLog, routes: () => routes });
     const serverMetrics = ServerMetrics.make(list, loads);
-    const stops: (() => void)[] = [];
-    const ears: ((now: Routes) => void)[] = [];
+    const stopFunctions: (() => void)[] = [];
+    const routeListeners: ((routes: Routes) => void)[] = [];
 
-    shelf.heed((doc) => {
+    store.heed((doc) => {
       if (doc.name === 'charter') {
-        const intent = (doc.body as CharterBody).charter;
-        if (!('routes' in intent)) return;
-        routes = RouteTable.make(intent);
+        const configuration = (doc.body as CharterBody).charter;
+        if (!('routes' in configuration)) return;
+        routes = RouteTable.make(configuration);
         revocation.configurationChanged();
-        for (const fn of ears) fn(routes);
+        for (const listener of routeListeners) listener(routes);
         log.say(`Configuration ${routes.revision} has taken hold.`);
       }
       if (doc.name === 'list') list.glimpse(ListRows.open(doc.body as ListBody));
@@ -185,63 +205,85 @@
       const { server, by } = doc.body as Sighting;
       if (by !== ident.id) health.hint(server, by, world.chance.real());
     });
-    list.heed((now) => {
-      const ids = new Set(now.map((s) => s.id));
-      kept.only(ids);
+    list.heed((servers) => {
+      const ids = new Set(servers.map((server) => server.id));
+      cache.only(ids);
       health.only(ids);
       speed.only(ids);
     });
-    TraceDesk.make(post, self, purge, shelf, certainty.is);
+    TraceDesk.make(post, self, purge, store, freshness.is);
     Introducer.make({ clock, post, me: () => ({ id: ident.id, born: ident.born, addr: ident.addr }), view: line.view });
-    RequestDesk.make(post, steps);
+    RequestDesk.make(post, requestLog);
     StatusDesk.make({
-      ...{ clock, post, shelf, self, state: is, sure: certainty.is, view: line.view, head: () => false },
-      list: () => ({ age: list.age(), young: list.young() }),
-      ...{ silent: head.silent, suspected: health.suspected },
-      known: () => [...purge.peers(), ...head.peers()],
+      ...{ clock, post, store, self, state, isConfirmed: freshness.is, view: line.view, isActingHead: () => false },
+      list: () => ({ age: list.age(), isFresh: list.young() }),
+      ...{ msSinceHeadReply: head.silent, suspected: health.suspected },
+      knownDaemons: () => [...purge.peers(), ...head.peers()],
     });
     return {
-      ...{ ident, post, line, purge, shelf, list, loads, health, budgets, head, watch, news, kept, pace },
-      life: is,
+      ...{
+        ident,
+        post,
+        line,
+        purge,
+        shelf: store,
+        list,
+        loads,
+        health,
+        budgets,
+        head,
+        watch: fallback,
+        news,
+        kept: cache,
+        pace: rate,
+      },
+      life: state,
       routes: (): Routes | null => routes,
-      heed(fn: (now: Routes) => void): void {
-        ears.push(fn);
+      heed(listener: (routes: Routes) => void): void {
+        routeListeners.push(listener);
       },
       configuration: ConfigurationApi.make(line),
-      serve: (request: Request, sink: AnswerSink): Promise<Verdict | null> => serve(request, sink),
+      serve: (request: Request, writer: AnswerSink): Promise<Verdict | null> => serve(request, writer),
       metrics: (): MetricFamily[] => [...counters.families(), ...serverMetrics.families()],
       /** Whether new clients are welcome. */
       ready: (): boolean => {
-        awake.look();
-        return is() === 'serving' && routes !== null && list.young();
+        suspension.look();
+        return state() === 'serving' && routes !== null && list.young();
       },
       start(): void {
-        life.send('begin');
-        awake.start();
+        lifecycle.send('begin');
+        suspension.start();
         purge.start();
-        watch.start();
+        fallback.start();
         news.start();
-        broker.start();
-        void certainty.seek();
-        stops.push(Timer.every(clock, CHECKIN, head.tick));
-        stops.push(OutcomeLog.start({ clock, log, requests: counters.requestsByOutcome, servers: serverMetrics.text }));
+        loadAggregator.start();
+        void freshness.seek();
+        stopFunctions.push(Timer.every(clock, CHECKIN_INTERVAL_MS, head.tick));
+        stopFunctions.push(
+          OutcomeLog.start({
+            clock,
+            log,
+            requestsByOutcome: counters.requestsByOutcome,
+            serverSummary: serverMetrics.text,
+          }),
+        );
       },
       /**
        * From here on it is not ready; what comes all the same is served. After `turned` ms, when clients should go
        * elsewhere, only what will be done before its end, `end` ms from now.
        */
-      leave(turned: number, end: number): void {
-        leaving = { turned: clock.mono() + turned, end: clock.mono() + end };
-        life.send('leave');
+      leave(clientsGoneMs: number, endMs: number): void {
+        ending = { goneAt: clock.mono() + clientsGoneMs, endAt: clock.mono() + endMs };
+        lifecycle.send('leave');
         log.say('Leaving: clients are sent elsewhere.');
       },
       stop(): void {
-        life.send('empty');
-        for (const s of stops) s();
-        awake.stop();
-        watch.stop();
+        lifecycle.send('empty');
+        for (const stopFunction of stopFunctions) stopFunction();
+        suspension.stop();
+        fallback.stop();
         news.stop();
-        broker.stop();
+        loadAggregator.stop();
         purge.stop();
         post.close();
       },
--- a/packages/router/src/routetable.ts
+++ b/packages/router/src/routetable.ts
@@ -2,42 +2,42 @@
 import { TenantDirectory } from './tenantdirectory.js';
 
 type RouteMatch = { route: Route; services: readonly { service: Service; weight: number }[] };
-type Host = readonly { prefix: string; found: RouteMatch }[];
+type HostRoutes = readonly { prefix: string; match: RouteMatch }[];
 
 /** One routing, made ready for look-ups. Invariant: the prefixes of a host stand longest first, so the first wins. */
 export const RouteTable = {
   make(routing: Routing) {
-    const services = new Map(routing.services.map((s) => [s.name, s]));
-    const hosts = new Map<string, { prefix: string; found: RouteMatch }[]>();
+    const services = new Map(routing.services.map((service) => [service.name, service]));
+    const hosts = new Map<string, { prefix: string; match: RouteMatch }[]>();
     for (const route of routing.routes) {
-      const list = route.split.flatMap((s) => {
-        const service = services.get(s.service);
-        return service && s.weight > 0 ? [{ service, weight: s.weight }] : [];
+      const weightedServices = route.split.flatMap((share) => {
+        const service = services.get(share.service);
+        return service && share.weight > 0 ? [{ service, weight: share.weight }] : [];
       });
-      const host = hosts.get(route.host) ?? [];
-      host.push({ prefix: route.prefix, found: { route, services: list } });
-      hosts.set(route.host, host);
+      const entries = hosts.get(route.host) ?? [];
+      entries.push({ prefix: route.prefix, match: { route, services: weightedServices } });
+      hosts.set(route.host, entries);
     }
-    for (const host of hosts.values()) host.sort((a, b) => b.prefix.length - a.prefix.length);
-    const table: ReadonlyMap<string, Host> = hosts;
+    for (const entries of hosts.values()) entries.sort((a, b) => b.prefix.length - a.prefix.length);
+    const routesByHost: ReadonlyMap<string, HostRoutes> = hosts;
     return {
       revision: routing.revision,
       limits: routing.limits,
       tenants: TenantDirectory.make(routing.tenants),
       services: (): readonly Service[] => routing.services,
       find(host: string, path: string): RouteMatch | null {
-        const plain = path.split('?', 1)[0]!;
-        return table.get(host)?.find((p) => plain.startsWith(p.prefix))?.found ?? null;
+        const pathname = path.split('?', 1)[0]!;
+        return routesByHost.get(host)?.find((entry) => pathname.startsWith(entry.prefix))?.match ?? null;
       },
       /** The service that a request goes to, by a number from 0 up to 1. */
-      pickService(found: RouteMatch, chance: number): Service | null {
-        const sum = found.services.reduce((n, s) => n + s.weight, 0);
-        let left = chance * sum;
-        for (const s of found.services) {
-          left -= s.weight;
-          if (left < 0) return s.service;
+      pickService(match: RouteMatch, random: number): Service | null {
+        const totalWeight = match.services.reduce((sum, candidate) => sum + candidate.weight, 0);
+        let remaining = random * totalWeight;
+        for (const candidate of match.services) {
+          remaining -= candidate.weight;
+          if (remaining < 0) return candidate.service;
         }
-        return found.services.at(-1)?.service ?? null;
+        return match.services.at(-1)?.service ?? null;
       },
     };
   },
--- a/packages/router/src/servetools.ts
+++ b/packages/router/src/servetools.ts
@@ -29,9 +29,9 @@
   /** ms that this daemon still has for a request taken now. */
   remainingLifetimeMs: () => number;
   routes: () => Routes | null;
-  list: ServerListing;
+  serverList: ServerListing;
   loads: ReturnType<typeof ServerLoads.make>;
-  broker: Pick<ReturnType<typeof LoadBroker.make>, 'refresh'>;
+  loadAggregator: Pick<ReturnType<typeof LoadBroker.make>, 'refresh'>;
   health: ReturnType<typeof ServerHealth.make>;
   kept: ReturnType<typeof KeptParts.make>;
   pace: ReturnType<typeof Pace.make>;
@@ -44,7 +44,7 @@
   shedders: { of(service: string): ReturnType<typeof LoadShedder.make> };
   counters: ReturnType<typeof OutcomeCounters.make>;
   /** This daemon saw a server fail. */
-  suspect: (s: Server, why: string) => void;
+  suspect: (server: Server, why: string) => void;
   /** A server turned a request of this daemon away. */
-  turned: (s: Server) => void;
+  turned: (server: Server) => void;
 };
--- a/packages/router/src/statusdesk.ts
+++ b/packages/router/src/statusdesk.ts
@@ -7,20 +7,20 @@
 import { ListRows } from './listrows.js';
 import type { Server } from './server.js';
 
-type Tools = {
+type Dependencies = {
   clock: Clock;
   post: PostBox;
-  shelf: Holding;
+  store: Holding;
   self: () => Ident;
   state: () => string;
-  sure: () => boolean;
+  isConfirmed: () => boolean;
   view: () => View | null;
-  head: () => boolean;
+  isActingHead: () => boolean;
   /** The list as it may be sent by; null where this daemon sends nothing. */
-  list: () => { age: number; young: boolean } | null;
-  silent: () => number | null;
+  list: () => { age: number; isFresh: boolean } | null;
+  msSinceHeadReply: () => number | null;
   suspected: () => readonly string[];
-  known: () => readonly Ident[];
+  knownDaemons: () => readonly Ident[];
 };
 const finite = (ms: number | null): number | null => (ms !== null && Number.isFinite(ms) ? ms : null);
 
@@ -30,37 +30,43 @@
     request: Type.Object({ servers: Type.Boolean() }, { additionalProperties: false }),
     told: DaemonStatus,
   },
-  make(t: Tools): void {
-    let since = t.clock.mono();
-    t.shelf.heed((doc) => {
-      if (doc.name === 'charter') since = t.clock.mono();
+  make(deps: Dependencies): void {
+    let configurationSince = deps.clock.mono();
+    deps.store.heed((doc) => {
+      if (doc.name === 'charter') configurationSince = deps.clock.mono();
     });
     const configuration = (): DaemonStatus['configuration'] => {
-      const doc = t.shelf.get('charter');
+      const doc = deps.store.get('charter');
       if (!doc) return null;
       const revision = Intents.revision((doc.body as CharterBody).charter);
-      return { revision, version: doc.mark[0], age: t.clock.mono() - since };
+      return { revision, version: doc.mark[0], age: deps.clock.mono() - configurationSince };
     };
-    const held = (): ListBody =>
-      (t.shelf.get('list')?.body as ListBody | undefined) ?? { rows: [], services: [], zones: [] };
+    const heldList = (): ListBody =>
+      (deps.store.get('list')?.body as ListBody | undefined) ?? { rows: [], services: [], zones: [] };
     const orders = (): NonNullable<DaemonStatus['orders']> =>
-      [...t.shelf.table().values()]
-        .filter((d) => d.name.startsWith('row:'))
+      [...deps.store.table().values()]
+        .filter((doc) => doc.name.startsWith('row:'))
         .map((d) => {
           const row = d.body as SheetRow;
           return { server: row.server, stage: row.part, done: row.stage === 'serving', by: row.by, mark: d.mark };
         });
-    t.post.on('status.tell', StatusDesk.forms.request, (body): DaemonStatus => {
-      const list = t.list();
-      const mark: Mark | null = t.shelf.mark('list');
-      const servers = (): Server[] => ListRows.open(held());
+    deps.post.on('status.tell', StatusDesk.forms.request, (body): DaemonStatus => {
+      const list = deps.list();
+      const mark: Mark | null = deps.store.mark('list');
+      const servers = (): Server[] => ListRows.open(heldList());
       return {
-        ...{ who: t.self(), state: t.state(), sure: t.sure(), view: t.view(), head: t.head() },
+        ...{
+          who: deps.self(),
+          state: deps.state(),
+          sure: deps.isConfirmed(),
+          view: deps.view(),
+          head: deps.isActingHead(),
+        },
         configuration: configuration(),
-        list: { mark, age: finite(list?.age ?? null), young: list?.young ?? true, servers: held().rows.length },
-        silent: finite(t.silent()),
-        suspected: [...t.suspected()],
-        known: [...t.known()],
+        list: { mark, age: finite(list?.age ?? null), young: list?.isFresh ?? true, servers: heldList().rows.length },
+        silent: finite(deps.msSinceHeadReply()),
+        suspected: [...deps.suspected()],
+        known: [...deps.knownDaemons()],
         servers: body.servers ? servers() : null,
         orders: body.servers ? orders() : null,
       };
--- a/packages/router/src/tenantdirectory.ts
+++ b/packages/router/src/tenantdirectory.ts
@@ -6,13 +6,13 @@
  */
 export const TenantDirectory = {
   make(tenants: readonly Tenant[] | undefined) {
-    const holders = new Map<string, Tenant>();
-    for (const tenant of tenants ?? []) for (const key of tenant.keys) holders.set(key, tenant);
+    const tenantsByKey = new Map<string, Tenant>();
+    for (const tenant of tenants ?? []) for (const key of tenant.keys) tenantsByKey.set(key, tenant);
     return {
       /** Whether requests need a key, but for those of open routes. */
       keysRequired: tenants !== undefined,
       /** The tenant that holds the key of this digest. */
-      tenantForKey: (key: string | null): Tenant | null => (key === null ? null : (holders.get(key) ?? null)),
+      tenantForKey: (key: string | null): Tenant | null => (key === null ? null : (tenantsByKey.get(key) ?? null)),
     };
   },
 };
