--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -65,15 +65,14 @@
     const lifecycle = interpret(DaemonLife, () => undefined);
     const state = (): string => lifecycle.machine.current;
     /** When no new clients are sent here any more, and when this daemon ends. */
-    let ending = { goneAt: Infinity, endAt: Infinity };
+    let exit = { noClientsAt: Infinity, endAt: Infinity };
     let routes: Routes | null = null;
     const post = Post.make(world, self);
     const store = Shelf.make(SharedSound.doc);
     const viewMembers = (): readonly Ident[] => Views.idents(line.view());
     const purge = Purge.make(world, post, self, store, options.tunes, options.seeds, viewMembers);
     const line = ControlClient.make(world, post, () => [...options.seeds(), ...purge.peers().map((peer) => peer.addr)]);
-    const routers = (): readonly Ident[] =>
-      purge.peers().filter((peer) => peer.role === 'counter' && peer.id !== ident.id);
+    const routers = (): readonly Ident[] => purge.peers().filter((p) => p.role === 'counter' && p.id !== ident.id);
     const suspension = Awake.make(clock, () => {
       list.drop();
       freshness.lose();
@@ -89,13 +88,7 @@
     );
     const version = (): number => store.mark('charter')?.[0] ?? 0;
     const newest = Newest.make({
-      world,
-      post,
-      line,
-      purge,
-      shelf: store,
-      self,
-      known: routers,
+      ...{ world, post, line, purge, shelf: store, self, known: routers },
       slept: () => suspension.slept(),
     });
     const freshness = Certainty.make({
@@ -117,13 +110,7 @@
     const counters = OutcomeCounters.make();
     const isLargeFleet = (): boolean => (head.routers() ?? 0) > LoadNews.SEEN;
     const loadAggregator = LoadBroker.make({
-      clock,
-      post,
-      loads,
-      shelf: store,
-      view: line.view,
-      large: isLargeFleet,
-      counters,
+      ...{ clock, post, loads, shelf: store, view: line.view, large: isLargeFleet, counters },
     });
     const fallback = ListWatch.make({
       ...{ world, post, list, source, peers: routers },
@@ -132,22 +119,21 @@
       daemons: head.routers,
     });
     const health = ServerHealth.make(clock),
-      rate = Pace.make(),
-      speed = ServerSpeed.make(clock),
-      wait = ReadWait.make(clock, isLargeFleet);
+      prefillRate = Pace.make(),
+      slowdown = ServerSpeed.make(clock),
+      prefillWait = ReadWait.make(clock, isLargeFleet);
     const kvCacheTokens = (): number =>
-      routes?.services().find((service) => (service.engine?.memory ?? 0) > 0)?.engine?.memory ??
-      DEFAULT_KV_CACHE_TOKENS;
-    const cache = KeptParts.make(kvCacheTokens);
+      routes?.services().find((s) => (s.engine?.memory ?? 0) > 0)?.engine?.memory ?? DEFAULT_KV_CACHE_TOKENS;
+    const prefixCache = KeptParts.make(kvCacheTokens);
     const placement = Placement.make({
-      ...{ chance: world.chance, zone: options.zone, list, loads, health, kept: cache },
+      ...{ chance: world.chance, zone: options.zone, list, loads, health, kept: prefixCache },
       changing: () => Changing.now(store),
       linked: engine.linked,
-      pace: rate.now,
-      speed: speed.of,
-      wait: wait.now,
+      pace: prefillRate.now,
+      speed: slowdown.of,
+      wait: prefillWait.now,
     });
-    const budgets = Budgets.make(clock, () => options.budget, head.routers);
+    const retryBudgets = Budgets.make(clock, () => options.budget, head.routers);
     const shedders = PerService.make(() => LoadShedder.make(clock, world.chance));
     const unavailable = (): Verdict | null => {
       suspension.look();
@@ -160,31 +146,14 @@
       () => options.revocation.within,
     );
     const keysCurrent = (): boolean => !options.revocation.everywhere || head.unconfirmed() < options.revocation.within;
-    const remainingLifetimeMs = (): number => (clock.mono() < ending.goneAt ? Infinity : ending.endAt - clock.mono());
+    const remainingLifetimeMs = (): number => (clock.mono() < exit.noClientsAt ? Infinity : exit.endAt - clock.mono());
     const sightings = Sightings.make({ clock, chance: world.chance, shelf: store, purge, self: ident.id });
     const { suspect, turned: noteRejection } = Suspicions.make({ log, health, loads, sightings });
     const requestLog = RequestLog.make(clock);
     const dependencies = {
-      world,
-      engine,
-      unavailable,
-      remainingLifetimeMs,
-      keysCurrent,
-      revocation,
-      serverList: list,
-      loads,
-      health,
-      kept: cache,
-      pace: rate,
-      speed,
-      wait,
-      placement,
-      budgets,
-      suspect,
-      turned: noteRejection,
-      counters,
-      shedders,
-      loadAggregator,
+      ...{ world, engine, unavailable, remainingLifetimeMs, keysCurrent, revocation, serverList: list, loads, health },
+      ...{ kept: prefixCache, pace: prefillRate, speed: slowdown, wait: prefillWait, placement, budgets: retryBudgets },
+      ...{ suspect, turned: noteRejection, counters, shedders, loadAggregator },
     };
     const serve = RequestHandler.make({ ...dependencies, log: requestLog, routes: () => routes });
     const serverMetrics = ServerMetrics.make(list, loads);
@@ -207,9 +176,9 @@
     });
     list.heed((servers) => {
       const ids = new Set(servers.map((server) => server.id));
-      cache.only(ids);
+      prefixCache.only(ids);
       health.only(ids);
-      speed.only(ids);
+      slowdown.only(ids);
     });
     TraceDesk.make(post, self, purge, store, freshness.is);
     Introducer.make({ clock, post, me: () => ({ id: ident.id, born: ident.born, addr: ident.addr }), view: line.view });
@@ -221,22 +190,8 @@
       knownDaemons: () => [...purge.peers(), ...head.peers()],
     });
     return {
-      ...{
-        ident,
-        post,
-        line,
-        purge,
-        shelf: store,
-        list,
-        loads,
-        health,
-        budgets,
-        head,
-        watch: fallback,
-        news,
-        kept: cache,
-        pace: rate,
-      },
+      ...{ ident, post, line, purge, shelf: store, list, loads, health, budgets: retryBudgets, head },
+      ...{ watch: fallback, news, kept: prefixCache, pace: prefillRate },
       life: state,
       routes: (): Routes | null => routes,
       heed(listener: (routes: Routes) => void): void {
@@ -273,7 +228,7 @@
        * elsewhere, only what will be done before its end, `end` ms from now.
        */
       leave(clientsGoneMs: number, endMs: number): void {
-        ending = { goneAt: clock.mono() + clientsGoneMs, endAt: clock.mono() + endMs };
+        exit = { noClientsAt: clock.mono() + clientsGoneMs, endAt: clock.mono() + endMs };
         lifecycle.send('leave');
         log.say('Leaving: clients are sent elsewhere.');
       },
