--- a/packages/router/src/answersink.ts
+++ b/packages/router/src/answersink.ts
@@ -1,13 +1,16 @@
-/** Where an answer goes. Invariant: one head, then whole events or bytes, then one of `end` and `cut`. */
+/**
+ * Writes the response to one client. Invariant: one head, then whole events or bytes, then exactly one call that ends
+ * the response, either normally or by aborting it.
+ */
 export type AnswerSink = {
   head(status: number, headers: readonly (readonly [string, string])[]): void;
-  /** Gives false once the client reads no more. */
+  /** Writes body bytes; returns false once the client no longer reads. */
   bytes(chunk: Uint8Array): boolean;
   end(): void;
-  /** Ends it so that the client can't take it for whole. */
+  /** Terminates the response so that the client can tell that it is incomplete. */
   cut(): void;
-  /** Whether the client has gone. */
+  /** Whether the client has disconnected. */
   gone(): boolean;
-  /** Calls once when it goes. */
+  /** Registers a callback that is called once when the client disconnects. */
   left(fn: () => void): void;
 };
--- a/packages/router/src/changesbody.ts
+++ b/packages/router/src/changesbody.ts
@@ -1,8 +1,9 @@
 import { Type, type Static } from 'typebox';
 
 /**
- * The body of the shared doc `changes`: servers that change their stage together, and to which. One doc for all of
- * them, as notices of many at once would fill the caches of gossip. Its mark is (fence, step).
+ * Body of the shared document `changes`: the servers that are changing their stage as one batch, each with its new
+ * stage, and the id of the replica that ordered it (`by`). All of them share one document, since one notice per server
+ * would fill the gossip caches. The document's version stamp is (fence, step).
  */
 export const ChangesBody = Type.Object(
   {
--- a/packages/router/src/controlreplica.ts
+++ b/packages/router/src/controlreplica.ts
@@ -14,11 +14,14 @@
 import { StatusDesk } from './statusdesk.js';
 
 type CoreOptions = { losses: number; first: boolean; lease: number } & {
-  /** How an operator's text becomes a routing; without it no plan can be made here. */
+  /** Parses an operator's configuration text; without it this replica rejects configuration plans. */
   read?: (text: string) => Result<Routing, Fault[]>;
 };
 
-/** A core daemon of a routed fleet put together: the registry, the duties, and the operators' desk. */
+/**
+ * Assembles a control replica: the replicated registry, the duties of the acting head (publishing the server list,
+ * balancing stages, answering router check-ins) and the handlers for operators.
+ */
 export const ControlReplica = {
   async make(
     world: World,
@@ -44,7 +47,10 @@
       return view !== null && Views.same(Views.head(view), node.ident);
     };
     const isActingHead = (): boolean => isHead() && node.core.live();
-    /** The agreed view's epoch, at the one daemon that may speak for it: no two have one, and it only rises. */
+    /**
+     * Fencing token of the head's duties: the epoch of the agreed view, or null unless this replica is the head and
+     * holds its lease. At most one replica has a token at any time, and tokens only increase.
+     */
     const fence = (): number | null => (isActingHead() ? (currentView()?.epoch ?? null) : null);
     const listPublisher = ServerListPublisher.make({
       ...{ clock, listSource, purge: node.purge },
@@ -60,7 +66,7 @@
       version,
       list: listPublisher.current,
     });
-    /** ms that a server of a service is away while it changes its stage, as the configuration says. */
+    /** Configured time in ms for which a server of the service is unavailable while it changes its stage. */
     const stageChangeMs = (service: string): number => {
       const intent = node.core.chain.passed()?.charter?.body;
       if (!intent || !('services' in intent)) return 0;
--- a/packages/router/src/daemonstatus.ts
+++ b/packages/router/src/daemonstatus.ts
@@ -7,30 +7,40 @@
 const Nullable = <Schema extends Parameters<typeof Type.Union>[0][number]>(schema: Schema) =>
   Type.Union([schema, Type.Null()]);
 
-/** What one daemon of a routed fleet says of itself. Every `age` and `silent` is in ms, null where there is none. */
+/**
+ * Status that a router or control replica reports about itself. Every `age` and `silent` is in ms, or null if it does
+ * not apply.
+ */
 export const DaemonStatus = Type.Object(
   {
+    /** Identity of the daemon. */
     who: Ident,
     state: Type.String(),
-    sure: Type.Boolean({ description: 'whether it knows that its configuration is not an older one than it had' }),
+    sure: Type.Boolean({
+      description: 'whether its configuration is confirmed to be at least as new as any it held before',
+    }),
     view: Nullable(View),
-    head: Type.Boolean({ description: 'whether it is the head and may speak as such at this instant' }),
+    head: Type.Boolean({ description: 'whether it is the head and holds the lease for it now' }),
     configuration: Nullable(
       Type.Object({ revision: Type.Integer(), version: Type.Integer(), age: Type.Number() }, strict),
     ),
     list: Type.Object(
       {
+        /** Version stamp of the list. */
         mark: Nullable(Mark),
         age: Nullable(Type.Number()),
-        young: Type.Boolean({ description: 'whether it may be sent by' }),
+        young: Type.Boolean({ description: 'whether it is recent enough to route requests by' }),
         servers: Type.Integer(),
       },
       strict,
     ),
-    silent: Nullable(Type.Number({ description: 'since the head last replied to it as such' })),
+    silent: Nullable(Type.Number({ description: 'time since the head last replied to it under a valid lease' })),
+    /** Ids of servers that failed and have not recovered. */
     suspected: Type.Array(Type.String()),
+    /** Other daemons that it knows. */
     known: Type.Array(Ident),
     servers: Nullable(Type.Array(Server)),
+    /** Stage changes that have been ordered; `by` is the replica that ordered them. */
     orders: Nullable(
       Type.Array(
         Type.Object(
--- a/packages/router/src/engine.ts
+++ b/packages/router/src/engine.ts
@@ -7,21 +7,25 @@
 import type { Server } from './server.js';
 
 type SendOptions = {
-  /** ms that the server may work on it, and that are waited for it. */
+  /** Time limit in ms: the server stops its work after it, and the caller stops waiting. */
   ms: number;
-  /** 0 goes first, 9 last. */
+  /** Scheduling urgency at the server, from 0 (first) to 9 (last). */
   urgency: number;
   signal: AbortSignal;
 };
 
 /**
- * How servers are asked. Every send names the life meant (`server.id`), which any other server turns away.
- * Invariant: an answer that does not echo the request's id is none of this request's, and its connection is closed.
+ * Client for the model servers. Every call names the server incarnation that it is meant for (`server.id`); any other
+ * server rejects it. Invariant: a response that does not echo the request's id is not taken for an answer to this
+ * request, and its connection is closed.
  */
 export type Engine = {
-  /** Reads a prompt; nothing is run. */
+  /** Prefills a prompt and returns a handle to its KV cache; generates nothing. */
   prefill(server: Server, request: Request, terms: SendOptions): Promise<Result<Handle, SendFault>>;
-  /** Runs a request, from a handle held elsewhere or reading the prompt itself; after an event, or from the start. */
+  /**
+   * Runs a request, either from the KV cache behind `handle`, held by another server, or by prefilling the prompt
+   * itself. The stream resumes after the event `lastEventId`, or starts from the beginning if that is null.
+   */
   run(
     server: Server,
     request: Request,
@@ -30,12 +34,15 @@
     terms: SendOptions,
     response: Heard,
   ): Promise<Result<void, SendFault>>;
-  /** Whether a connection to the server stands idle, so that none has to be opened for the next request. */
+  /** Whether an idle connection to the server is open, so that the next request needs no new one. */
   linked(server: Server): boolean;
-  /** Gives memory back that nobody will fetch. */
+  /** Releases KV cache memory that no server will fetch. */
   free(handle: Handle): Promise<void>;
   report(server: Server, ms: number): Promise<Result<Report, string>>;
-  /** Changes a server's stage, under a fence. */
+  /**
+   * Orders a server to change its stage, under a fencing token. Results: `taken`: the order was accepted; `holds`: the
+   * server already has that stage; `fenced`: it has seen a newer token; `lost`: the outcome is unknown.
+   */
   order(
     server: Server,
     order: { stage: 'prefill' | 'decode'; holder: string; fence: number },
--- a/packages/router/src/handle.ts
+++ b/packages/router/src/handle.ts
@@ -1,4 +1,7 @@
 import type { Server } from './server.js';
 
-/** Memory of a prompt that a server holds until it is fetched, freed or lapsed. It belongs to one request. */
+/**
+ * Handle to the KV cache of a prefilled prompt, which `server` holds until it is fetched, released or expires. It
+ * belongs to one request.
+ */
 export type Handle = { server: Server; id: string; tokens: number };
--- a/packages/router/src/intentdesk.ts
+++ b/packages/router/src/intentdesk.ts
@@ -11,16 +11,18 @@
 import { Diff, type ControlClient } from '@pumicebarrow/registry';
 import { Type } from 'typebox';
 
-/** How an operator's text becomes an intent. */
+/** Parses an operator's text into a configuration. */
 type ParseConfiguration = (text: string) => Result<Intent, Fault[]>;
 const strict = { additionalProperties: false } as const;
 const Change = Type.Object({ path: Type.String(), words: Type.String() }, strict);
+/** How long the tail of the chain may take to return the configuration. */
 const READ_TIMEOUT_MS = 2500;
-const FIRST_CONFIGURATION_TEXT = 'There is no configuration yet; all of this is new.';
+const FIRST_CONFIGURATION_TEXT = 'There is no configuration yet; this entry is new.';
 
 /**
- * Where operators have a configuration planned, in the same form in which it is sent in one step. Invariants: only what
- * was read whole and checked becomes a plan; a plan is stored and no more: it takes hold when it is confirmed.
+ * Handles operators' requests to plan a configuration; the text has the same format as for a replacement in one step.
+ * Invariants: only a configuration that was parsed completely and validated becomes a plan; a plan is only stored, and
+ * takes effect when it is confirmed.
  */
 export const IntentDesk = {
   forms: {
@@ -29,7 +31,7 @@
   },
   make(post: PostBox, controlClient: ControlClient, parse: ParseConfiguration | null): void {
     const parseAndValidate = (text: string): Result<Intent, Fault[]> => {
-      const parsed = parse ? parse(text) : Err([{ path: '', why: 'can be read by no one here' }]);
+      const parsed = parse ? parse(text) : Err([{ path: '', why: 'this replica has no configuration parser' }]);
       const faults = parsed.ok ? Clauses.faults(parsed.val) : [];
       return faults.length > 0 ? Err(faults) : parsed;
     };
@@ -39,7 +41,11 @@
       const current = await controlClient.read(undefined, READ_TIMEOUT_MS);
       if (!current)
         return {
-          verdict: Verdicts.not('unready', 'The core does not reply; nothing was read.', 1),
+          verdict: Verdicts.not(
+            'unready',
+            'The control replicas did not reply; the configuration could not be read.',
+            1,
+          ),
           base: 0,
           changes: [],
         };
--- a/packages/router/src/job.ts
+++ b/packages/router/src/job.ts
@@ -6,37 +6,43 @@
 import type { Weighed } from './weighed.js';
 
 /**
- * One request on its way. Invariants: `arrivals` counts every send that may have reached a server and counts towards
- * the route's tries and the budget (the first read that a server took up does not); `after` is the last event that
- * went to the client; once `begun`, the answer's head has gone out and stays.
+ * State of one request while it is being served. Invariants: `countedSends` counts each send that may have reached a
+ * server and that counts towards the route's tries and the retry budget (the first prefill that a server accepted does
+ * not); `lastEventId` is the last event passed on to the client; once `responseStarted`, the response head has been
+ * sent and does not change.
  */
 export type Job = {
   request: Request;
   route: Route;
-  /** That of the tenant, or else of the route: 0 goes first. */
+  /** Priority rank of the tenant, or of the route if the tenant has none: 0 goes first. */
   rank: number;
   service: Service;
   writer: AnswerSink;
+  /** Monotonic time in ms by which the response must be complete. */
   due: number;
-  /** Whether it is the client's first try, as far as that shows. */
+  /** Whether this is probably the client's first attempt. */
   isFirstTry: boolean;
-  /** Whether it goes before others at a server, because it was sent away once. */
+  /** Whether servers schedule it ahead of others because it was deferred once. */
   ahead: boolean;
   arrivals: number;
+  /** Prefills sent so far. */
   reads: number;
-  /** Whether a send that counts could not be paid for: what would follow it is left. */
+  /** Whether the retry budget could not cover a counted send; no further send follows then. */
   unpaid: boolean;
-  /** How it fares, as weighed in this very turn; null once that may have changed. */
+  /** Placement estimate made in the current turn of the event loop; null once it may be stale. */
   weighed: Weighed | null;
   handle: Handle | null;
+  /** Id of the last event that the client has, here or from an earlier attempt. */
   lastEventId: string | null;
   responseStarted: boolean;
   eventsSent: number;
-  /** The status of the answer that has begun. */
+  /** HTTP status of the response that has started. */
   status: number;
-  /** Whether some send may have run it. */
+  /** Whether some server may have run the request. */
   mayHaveRun: boolean;
+  /** Servers that failed this request; they are not tried again for it. */
   avoid: Set<string>;
   fault: SendFault | null;
+  /** Aborted when the client disconnects (`gone`) or its key is revoked (`revoked`). */
   left: AbortController;
 };
--- a/packages/router/src/keyrevocation.ts
+++ b/packages/router/src/keyrevocation.ts
@@ -1,13 +1,13 @@
 import type { Clock } from '@pumicebarrow/forms';
 import type { Routes } from './routes.js';
 
-/** ms before the bound at which streams are ended, so that their clients see it within the bound. */
+/** How long before the bound streams are aborted, so that their clients notice it within the bound. */
 const ABORT_MARGIN_MS = 500;
 
 /**
- * Ends what is still under way with a key that was taken away. New requests and further sends are refused as soon as
- * the configuration is here; an answer that has begun may go on until shortly before the bound. Invariant: one whose
- * key is held again by then goes on.
+ * Aborts requests in progress whose API key has been revoked. New requests and further sends are refused as soon as
+ * this daemon has the configuration; a response that has started may continue until shortly before the revocation
+ * bound. Invariant: a request whose key is valid again by then continues.
  */
 export const KeyRevocation = {
   make(clock: Clock, routes: () => Routes | null, boundMs: () => number) {
@@ -21,7 +21,7 @@
       for (const controller of controllersByKey.get(key) ?? []) controller.abort('revoked');
     };
     return {
-      /** A request is under way with this key, until the function given back is called. */
+      /** Tracks a request under this key until the returned function is called. */
       track(key: string, controller: AbortController): () => void {
         const controllers = controllersByKey.get(key) ?? new Set();
         controllersByKey.set(key, controllers.add(controller));
@@ -30,7 +30,7 @@
           if (controllers.size === 0 && controllersByKey.get(key) === controllers) controllersByKey.delete(key);
         };
       },
-      /** Another configuration is in force. */
+      /** To be called when another configuration has taken effect. */
       configurationChanged(): void {
         for (const key of controllersByKey.keys())
           if (!isHeld(key)) clock.after(Math.max(0, boundMs() - ABORT_MARGIN_MS), () => abortIfRevoked(key));
--- a/packages/router/src/listduty.ts
+++ b/packages/router/src/listduty.ts
@@ -8,7 +8,7 @@
   clock: Clock;
   listSource: ListSource;
   purge: Purging;
-  /** The fence under which this daemon has the duty at this instant; null when it hasn't. */
+  /** Fencing token under which this replica has the duty now; null if it does not have the duty. */
   fence: () => number | null;
   intervalMs: number;
 };
@@ -16,8 +16,9 @@
 const CHECK_INTERVAL_MS = 100;
 
 /**
- * One daemon asks the platform for the list, and purge passes it on. Invariants: it is published only under a fence
- * that is live at that instant, with a step that rises; its age counts from before it was asked for.
+ * Duty of the acting head: polls the platform for the list of servers and publishes changes through gossip. Invariants:
+ * a list is published only under the fencing token that is valid at that moment, with an increasing step; its age
+ * counts from before the platform was asked.
  */
 export const ServerListPublisher = {
   make(deps: Dependencies) {
--- a/packages/router/src/outcomecounters.ts
+++ b/packages/router/src/outcomecounters.ts
@@ -2,15 +2,13 @@
 
 type Kind = 'requests' | 'prefills' | 'runs' | 'load_queries';
 const HELP: Readonly<Record<Kind, string>> = {
-  requests: 'requests by how they ended at this router',
+  requests: 'requests by their outcome at this router',
   prefills: 'prompts sent to a prefill server, by outcome',
   runs: 'requests sent to a decode server, by outcome',
-  load_queries: 'questions about the loads of all servers, by outcome',
+  load_queries: 'queries for the loads of all servers, by outcome',
 };
 
-/**
- * Counts how requests, prefills, runs and questions about loads ended since the start, by outcome: a code of ours.
- */
+/** Counts requests, prefills, decode runs and load queries since the start, by outcome code. */
 export const OutcomeCounters = {
   make() {
     const counts: Record<Kind, Map<string, number>> = {
@@ -23,7 +21,7 @@
       count(kind: Kind, outcome: string): void {
         counts[kind].set(outcome, (counts[kind].get(outcome) ?? 0) + 1);
       },
-      /** Requests by outcome, as of now. */
+      /** A snapshot of the number of requests by outcome. */
       requestsByOutcome: (): ReadonlyMap<string, number> => new Map(counts.requests),
       families: (): MetricFamily[] =>
         (Object.keys(HELP) as Kind[]).map((kind) => ({
--- a/packages/router/src/outcomelog.ts
+++ b/packages/router/src/outcomelog.ts
@@ -1,20 +1,20 @@
 import { Timer, type Clock, type Log } from '@pumicebarrow/forms';
 
 const LOG_INTERVAL_MS = 5000;
-/** The part of the requests of a period that must have ended otherwise than whole before the period is logged. */
+/** A period is logged if more than this fraction of its requests did not complete. */
 const MIN_UNSUCCESSFUL_FRACTION = 0.1;
 const COMPLETE_OUTCOME = 'whole';
 
 type Dependencies = {
   clock: Clock;
   log: Log;
-  /** Requests by outcome since the start. */
+  /** Number of requests by outcome since the start. */
   requestsByOutcome: () => ReadonlyMap<string, number>;
-  /** What waits at the servers, in words. */
+  /** Text that summarizes the work queued at the servers. */
   serverSummary: () => string;
 };
 
-/** Logs how requests ended, for periods in which many were not answered whole. */
+/** Logs the outcomes of requests for periods in which an unusual fraction did not complete. */
 export const OutcomeLog = {
   start(deps: Dependencies): () => void {
     let previous: ReadonlyMap<string, number> = new Map();
--- a/packages/router/src/replicahandler.ts
+++ b/packages/router/src/replicahandler.ts
@@ -7,25 +7,26 @@
   clock: Clock;
   post: PostBox;
   view: () => View | null;
-  /** Whether this daemon is the head and may speak for the view. */
+  /** Whether this replica is the head and holds its lease. */
   speaks: () => boolean;
   version: () => number;
-  /** The list as this daemon last had it of the platform under the present view. */
+  /** Version stamp and age of the server list that this replica published under the current view. */
   list: () => { mark: Mark; age: number } | null;
 };
 const MAX_ROUTERS = 20_000;
 const ROUTER_EXPIRY_MS = 2000;
-/** How many others a router tells of its loads: all of a small fleet, few of a larger one. */
+/** Peers to which a router sends its loads: all others up to this many, and only a few in a larger fleet. */
 const ALL_PEERS_LIMIT = 16;
 const PEER_COUNT = 6;
-/** What a router says that it holds while it has no peers. */
+/** Digest that a router sends while it has no peers. */
 const NO_PEERS_DIGEST = Hash.of([]);
 type Load = { read: number; beside: number; run: number };
 type RouterEntry = { ident: Ident; load: Load; expiresAt: number };
 
 /**
- * Where routers check in with the head. What it knows of them is soft: lost with the head, and learnt again.
- * Invariant: rows lie in the order of their ends, as each is set for the same time.
+ * Handles the routers' periodic check-ins at the head. Its knowledge of the routers is soft state: a new head starts
+ * without it and rebuilds it from their next check-ins. Invariant: entries are kept in the order of their expiry, since
+ * all have the same lifetime.
  */
 export const ReplicaHandler = {
   make(deps: Dependencies) {
@@ -51,8 +52,9 @@
       return [...entries.values()];
     };
     /**
-     * The same few for one router for as long as they live, and each router a peer of about as many others. Until all
-     * are weighed for it, one that has peers keeps them.
+     * The router's peers, or null if they are the ones it already has. In a large fleet a router keeps the same few
+     * peers while they live, and every router is a peer of about as many others. Until all routers have been ranked for
+     * it, a router that has peers keeps them.
      */
     const peersIfChanged = (ident: Ident, heldDigest: string): Ident[] | null => {
       const isLargeFleet = entries.size - (entries.has(ident.id) ? 1 : 0) > ALL_PEERS_LIMIT;
@@ -81,7 +83,7 @@
     });
     return {
       routers: (): Ident[] => liveEntries().map((entry) => entry.ident),
-      /** What all routers together have under way: prompt tokens at readers, others at decoders, and runs. */
+      /** Load in progress of all routers together: prompt tokens at prefill servers and at decode servers, and runs. */
       load: (): Load =>
         liveEntries().reduce(
           (sum, { load }) => ({
--- a/packages/router/src/report.ts
+++ b/packages/router/src/report.ts
@@ -1,4 +1,6 @@
-/** How a server stood some hundred ms ago, by its own word. */
+/**
+ * State that a server reported about itself; it may be some hundred ms old. `orders` counts the stage orders it took.
+ */
 export type Report = {
   stage: 'prefill' | 'decode';
   busy: boolean;
--- a/packages/router/src/request.ts
+++ b/packages/router/src/request.ts
@@ -1,8 +1,8 @@
 import type { Prompt } from './prompt.js';
 
 /**
- * One try of a client, read whole. Invariants: `path` (with its query), `method` and `body` go to a server as they
- * came; `headers` holds neither what concerns one connection only nor what the router sets itself.
+ * One attempt of a client, received completely. Invariants: `path` (with its query), `method` and `body` are forwarded
+ * unchanged; `headers` contains neither hop-by-hop headers nor headers that the router sets itself.
  */
 export type Request = {
   id: string;
@@ -11,15 +11,16 @@
   path: string;
   headers: readonly (readonly [string, string])[];
   body: Uint8Array;
-  /** Monotonic ms at which the client goes. */
+  /** Monotonic time in ms at which the client gives up. */
   due: number;
-  /** ms that the client said it would wait, when it sent this try. */
+  /** Time in ms that the client said it would wait when it sent this attempt. */
   wait: number;
-  /** The id of the last event that the client has, of an earlier try that was cut. */
+  /** Id of the last event that the client received in an earlier, interrupted attempt. */
   after: string | null;
+  /** What the client said of its prompt; null if it said nothing. */
   prompt: Prompt | null;
-  /** Digest of the key that the client shows; null where it shows none. */
+  /** Digest of the API key that the client sent; null if it sent none. */
   key: string | null;
-  /** The tenant that servers are told of. Set by the router alone, by the key. */
+  /** Tenant name that is passed on to servers. Only the router sets it, from the API key. */
   tenant: string | null;
 };
--- a/packages/router/src/requestdesk.ts
+++ b/packages/router/src/requestdesk.ts
@@ -5,7 +5,7 @@
 
 const strict = { additionalProperties: false } as const;
 
-/** Where a router tells what it did with one request. */
+/** Answers operators' queries for the steps that this router took for one request. */
 export const RequestDesk = {
   forms: {
     request: Type.Object({ id: Type.String() }, strict),
--- a/packages/router/src/requestlog.ts
+++ b/packages/router/src/requestlog.ts
@@ -7,8 +7,9 @@
 const NO_DETAILS: StepDetails = {};
 
 /**
- * The last steps of requests, for operators that ask. Invariants: never more than `size` steps are held, the oldest go
- * first; a step costs one write into the ring, and nothing is looked up, joined or sent before somebody asks.
+ * Ring buffer of the latest request steps, for operators' queries. Invariants: at most `capacity` steps are held and
+ * the oldest are overwritten first; recording a step costs one write, and steps are searched and assembled only on a
+ * query.
  */
 export const RequestLog = {
   make(clock: Clock, capacity = DEFAULT_CAPACITY) {
@@ -19,7 +20,7 @@
         ring[nextIndex] = { id, wall: clock.wall(), what, details: details };
         nextIndex = (nextIndex + 1) % capacity;
       },
-      /** The steps still held of one request, oldest first. */
+      /** Steps of one request that are still held, oldest first. */
       stepsOf: (id: string): RequestStep[] =>
         [...ring.slice(nextIndex), ...ring.slice(0, nextIndex)]
           .filter((entry) => entry.id === id)
--- a/packages/router/src/requeststep.ts
+++ b/packages/router/src/requeststep.ts
@@ -1,9 +1,12 @@
 import { Type, type Static } from 'typebox';
 
 /**
- * One step of a request's way through this daemon. `at` is a server (at `taken` the service), `word` what else is to
- * be told: a route, a handle's server, a code. `tokens` are those of the prompt that are to be read there, `ahead`
- * what stands before it: tokens at a read, runs at a run.
+ * One step in the processing of a request by this daemon, at the wall-clock time `wall`. `at` is the server (for
+ * `taken` the service); `word` is a further detail: the route, the server that holds the handle, or a result code.
+ * `tokens` is the number of prompt tokens to prefill there; `ahead` is what is queued before it: tokens for a prefill,
+ * runs for a run. The kinds of step are: `taken`: accepted; `queued`: waits for a free slot; `prefill`: prefill sent;
+ * `handle`: prefill finished; `unread`: prefill failed; `beside`: prefill is left to the decode server; `run`: sent to
+ * a decode server; `first`: first event received; `failed`: run failed; `done`: finished.
  */
 export const RequestStep = Type.Object(
   {
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -44,12 +44,14 @@
 import { Suspicions } from './suspicions.js';
 
 const CHECKIN_INTERVAL_MS = 450;
-/** Parts of `drain` after which a list is too old to send by, and after which another way to it is sought. */
+/** Age of the server list, as a fraction of `drain`, from which on it is too old to route requests by. */
 const MAX_LIST_AGE_RATIO = 0.72;
+/** Age, as a fraction of `drain`, from which on the router gets the list from other sources. */
 const FALLBACK_LIST_AGE_RATIO = 0.5;
+/** KV cache size assumed for a server while no service has a configured one. */
 const DEFAULT_KV_CACHE_TOKENS = 400_000;
 
-/** A router daemon put together: purge, its line to the core, the list, and the requests' path. */
+/** Assembles a router daemon: gossip, the client for the control replicas, the server list and request handling. */
 export const Router = {
   make(world: World, options: RouterOptions, engine: Engine, source: ListSource) {
     const { clock } = world;
@@ -64,7 +66,7 @@
     const self = (): Ident => ident;
     const lifecycle = interpret(DaemonLife, () => undefined);
     const state = (): string => lifecycle.machine.current;
-    /** When no new clients are sent here any more, and when this daemon ends. */
+    /** Shutdown times: when clients are no longer sent to this daemon, and when it ends. */
     let exit = { noClientsAt: Infinity, endAt: Infinity };
     let routes: Routes | null = null;
     const post = Post.make(world, self);
@@ -77,7 +79,7 @@
       list.drop();
       freshness.lose();
       if (state() !== 'serving' && state() !== 'draining') return;
-      log.warn('This daemon slept. Asking for the newest configuration.');
+      log.warn('This daemon was suspended; confirming the newest configuration.');
       lifecycle.send('woke');
       void freshness.seek();
     });
@@ -93,12 +95,12 @@
     });
     const freshness = Certainty.make({
       clock,
-      // One that leaves serves what comes all the same, and asks too.
+      // A draining daemon still serves requests and therefore confirms its configuration as well.
       wanted: () => state() === 'asking' || state() === 'draining',
       ask: newest.sure,
       found(): void {
         lifecycle.send('sure');
-        log.say('Serving.');
+        log.say('Configuration confirmed; serving requests.');
         void head.tick();
       },
     });
@@ -138,7 +140,7 @@
     const unavailable = (): Verdict | null => {
       suspension.look();
       if (state() === 'serving' || (state() === 'draining' && freshness.is())) return null;
-      return Verdicts.not('asking', 'This daemon is learning the newest configuration.', 0.2);
+      return Verdicts.not('asking', 'This daemon is still confirming the newest configuration.', 0.2);
     };
     const revocation = KeyRevocation.make(
       clock,
@@ -167,7 +169,7 @@
         routes = RouteTable.make(configuration);
         revocation.configurationChanged();
         for (const listener of routeListeners) listener(routes);
-        log.say(`Configuration ${routes.revision} has taken hold.`);
+        log.say(`Configuration ${routes.revision} has taken effect.`);
       }
       if (doc.name === 'list') list.glimpse(ListRows.open(doc.body as ListBody));
       if (!doc.name.startsWith('sight:')) return;
@@ -200,7 +202,7 @@
       configuration: ConfigurationApi.make(line),
       serve: (request: Request, writer: AnswerSink): Promise<Verdict | null> => serve(request, writer),
       metrics: (): MetricFamily[] => [...counters.families(), ...serverMetrics.families()],
-      /** Whether new clients are welcome. */
+      /** Readiness: whether new clients should be sent here. */
       ready: (): boolean => {
         suspension.look();
         return state() === 'serving' && routes !== null && list.young();
@@ -224,13 +226,13 @@
         );
       },
       /**
-       * From here on it is not ready; what comes all the same is served. After `turned` ms, when clients should go
-       * elsewhere, only what will be done before its end, `end` ms from now.
+       * Starts the shutdown: no longer ready, but requests that still arrive are served. After `clientsGoneMs`, only
+       * requests that are sure to finish before the end, `endMs` from now, are accepted.
        */
       leave(clientsGoneMs: number, endMs: number): void {
         exit = { noClientsAt: clock.mono() + clientsGoneMs, endAt: clock.mono() + endMs };
         lifecycle.send('leave');
-        log.say('Leaving: clients are sent elsewhere.');
+        log.say('Draining before shutdown; no longer ready for new clients.');
       },
       stop(): void {
         lifecycle.send('empty');
--- a/packages/router/src/routes.ts
+++ b/packages/router/src/routes.ts
@@ -1,4 +1,4 @@
 import type { RouteTable } from './routetable.js';
 
-/** A routing made ready. */
+/** A routing configuration prepared for look-ups. */
 export type Routes = ReturnType<typeof RouteTable.make>;
--- a/packages/router/src/routetable.ts
+++ b/packages/router/src/routetable.ts
@@ -4,7 +4,10 @@
 type RouteMatch = { route: Route; services: readonly { service: Service; weight: number }[] };
 type HostRoutes = readonly { prefix: string; match: RouteMatch }[];
 
-/** One routing, made ready for look-ups. Invariant: the prefixes of a host stand longest first, so the first wins. */
+/**
+ * Routing table of one configuration. Invariant: the prefixes of a host are sorted longest first, so that the first
+ * match is the most specific one.
+ */
 export const RouteTable = {
   make(routing: Routing) {
     const services = new Map(routing.services.map((service) => [service.name, service]));
@@ -29,7 +32,7 @@
         const pathname = path.split('?', 1)[0]!;
         return routesByHost.get(host)?.find((entry) => pathname.startsWith(entry.prefix))?.match ?? null;
       },
-      /** The service that a request goes to, by a number from 0 up to 1. */
+      /** Chooses one of the services of a route by their weights, given a random number in [0, 1). */
       pickService(match: RouteMatch, random: number): Service | null {
         const totalWeight = match.services.reduce((sum, candidate) => sum + candidate.weight, 0);
         let remaining = random * totalWeight;
--- a/packages/router/src/runner.ts
+++ b/packages/router/src/runner.ts
@@ -10,33 +10,39 @@
 
 const SILENCE_CHECK_INTERVAL_MS = 100;
 const SERVER_ERROR_STATUS = 500;
-/** What clients take for the promise that a request has not run: unless the server's words say so, it may have. */
+/**
+ * Statuses that clients take as a promise that the request did not run. A status alone proves nothing: unless the
+ * server says explicitly that it did not run the request, it may have.
+ */
 const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 429, 503]);
-/** ms without a byte from a server, while one is due, after which it is under suspicion. */
+/** A server that owes a response and sends no byte for this long is suspected. */
 const SILENCE_LIMIT_MS = 900;
-/** ms after which a request that may run again goes elsewhere: before its first event, and between events. */
+/** A request that may run again is moved to another server if its first event takes longer than this. */
 const FIRST_EVENT_TIMEOUT_MS = 2200;
-/** Runs at a server from which on it has much to do. */
+/** From this many runs on a server counts as busy. */
 const BUSY_RUNS = 8;
+/** The same limit for the time between two events. */
 const NEXT_EVENT_TIMEOUT_MS = 1300;
-/** ms between events of an idle server, and what each run beside adds. */
+/** Expected time between two events at an idle server, and what each concurrent run adds to it. */
 const IDLE_EVENT_GAP_MS = 35;
 const EVENT_GAP_PER_RUN_MS = 1.6;
+/** A run counts towards the measured speed of its server only if it had more events than this. */
 const MIN_EVENTS_FOR_SPEED = 3;
 
 /**
- * A request is run by a server. Invariants: the list is looked at in the turn of the send; bytes go out only as whole
- * events, in the server's order; a second run goes on after the last event that went out, under the first head; a
- * status that promises what the server did not say of a request that may not run twice is never passed on.
+ * Runs a request on a decode server. Invariants: the server list is consulted in the same turn of the event loop as the
+ * send; bytes go to the client only as whole events, in the server's order; a second run resumes after the last event
+ * sent, under the original response head; for a request that must not run twice, a status that clients take as a
+ * promise that it did not run is never passed on unless the server said so.
  */
 export const DecodeRunner = {
   make(deps: ServeTools) {
     const now = (): number => deps.world.clock.mono();
     const checkPeriodically = Rounds.make(deps.world.clock, SILENCE_CHECK_INTERVAL_MS);
-    /** Whether another server may take it up once this one may have run it. */
+    /** Whether another server may run the request although this one may have run it. */
     const mayRunAgain = (job: Job): boolean =>
       (job.route.resumable && job.route.kind === 'stream') || (job.route.kind === 'idempotent' && !job.responseStarted);
-    /** Looks after a run: suspects a server that is silent, and gives up waiting where it may go on elsewhere. */
+    /** Watches a run: suspects a silent server, and aborts the attempt if the request may continue elsewhere. */
     const watchForSilence = (job: Job, server: Server, attempt: AbortController) => {
       let lastActivityAt = now();
       let suspicionReported = false;
@@ -47,7 +53,7 @@
           deps.suspect(server, `silent for ${Math.round(silentMs)} ms`);
         }
         const timeoutMs = job.eventsSent > 0 ? NEXT_EVENT_TIMEOUT_MS : FIRST_EVENT_TIMEOUT_MS;
-        // A server with much to do may be late with one; one with little to do, or wholly silent, has lost it.
+        // A busy server may just be late with one request; an idle or entirely silent one has lost it.
         const requestLost =
           deps.health.silent(server.id) > SILENCE_LIMIT_MS || deps.loads.at(server.id).runs < BUSY_RUNS;
         if (mayRunAgain(job) && silentMs > timeoutMs && requestLost && job.arrivals < job.route.tries)
@@ -65,7 +71,7 @@
     const responseHandler = (job: Job, server: Server, recordActivity: () => void, endRead: () => void): Heard => ({
       stir: recordActivity,
       head(status, headers) {
-        // A failure that the server tells of is an answer, but one that may run again goes elsewhere before it is told.
+        // A server error is a response, but a request that may run again is tried elsewhere before it is passed on.
         if (status >= SERVER_ERROR_STATUS && mayRunAgain(job) && job.arrivals < job.route.tries) return false;
         if (NOT_RUN_STATUSES.has(status) && !mayRunAgain(job)) return false;
         if (job.responseStarted) return status === job.status;
@@ -128,14 +134,17 @@
       endRun();
       endRead();
       job.left.signal.removeEventListener('abort', onClientGone);
-      // A send that never arrived has taken nothing: the memory may still be fetched by another.
+      // A send that never arrived did not fetch the KV cache, so another server still can.
       if (result.err && Blame.neverArrived(result.val)) job.handle = handle;
       return result;
     };
-    /** A handle that can't be had and a server that is full are told alike: the one that gave the handle is asked. */
+    /**
+     * A server gives the same answer when it is full and when it could not fetch the handle. Where a handle was sent,
+     * the rejection is therefore counted against the server that holds it.
+     */
     const handleRejection = (server: Server, fault: SendFault, handleOwner: Server | null): void => {
       if (!handleOwner || fault.code !== 'refused') deps.turned(server);
-      else if (deps.health.lapse(handleOwner.id)) deps.suspect(handleOwner, 'its handles lapse');
+      else if (deps.health.lapse(handleOwner.id)) deps.suspect(handleOwner, 'its handles could not be fetched');
     };
     const evaluateResult = (
       job: Job,
@@ -157,7 +166,7 @@
       deps.log.note(job.request.id, 'failed', { at: server.id, word: fault.code, why: fault.why });
       job.avoid.add(server.id);
       if (fault.code === 'gone' && job.left.signal.aborted) {
-        // The client may still be there: its key was taken away.
+        // The client may still be connected if the cause is that its key was revoked.
         job.mayHaveRun ||= fault.ran !== 'no';
         return true;
       }
@@ -169,7 +178,7 @@
       job.mayHaveRun = true;
       return !mayRunAgain(job);
     };
-    /** Gives true once the job is over: whole, cut, or without a way on. */
+    /** Sends the request once; returns true when it is finished: complete, aborted, or out of options. */
     return async (job: Job): Promise<boolean> => {
       const server = deps.placement.decode(job.service, job.request.prompt, job.handle?.server ?? null, job.avoid);
       if (!server) return true;
--- a/packages/router/src/sendfault.ts
+++ b/packages/router/src/sendfault.ts
@@ -1,14 +1,15 @@
 /**
- * Why a send brought no whole answer. Invariant: `ran` is 'no' only if the server said so itself, or no byte of the
- * request was written to it.
+ * Why a send returned no complete response. Invariant: `ran` is 'no' only if the server said so itself, or if no byte
+ * of the request was written to it.
  */
 export type SendFault = {
   ran: 'no' | 'maybe';
   /**
-   * unsent: no connection came up, so it never arrived; crowded: this daemon has as many there as it may, so neither
-   * did this; refused: the server said that it did not run it;
-   * misdirected: it was another server, or the wrong stage; broken: cut, or bytes that are no answer of this request;
-   * stale: the connection had rested, and was gone at the other side; late: our own time was up; gone: the client went.
+   * unsent: no connection could be opened; crowded: this daemon's connection limit for the server is reached (neither
+   * reached the server); refused: the server said that it did not run the request; misdirected: the address belongs to
+   * another server, or the server has another stage; broken: the connection broke, or the bytes are no response to this
+   * request; stale: the server had closed the idle connection; late: the time limit passed; gone: the client
+   * disconnected or its key was revoked.
    */
   code: 'unsent' | 'crowded' | 'refused' | 'misdirected' | 'broken' | 'stale' | 'late' | 'gone';
   why: string;
--- a/packages/router/src/serve.ts
+++ b/packages/router/src/serve.ts
@@ -11,28 +11,31 @@
 import type { ServeTools } from './servetools.js';
 import { Urgency } from './urgency.js';
 
-/** Less time than this is not worth a send. */
+/** A request with less time left than this is not sent. */
 const MIN_SEND_TIME_MS = 30;
-/** Seconds after which a refused request may come again. */
+/** Retry-after of a refused request. */
 const RETRY_SOON_S = 0.15;
-/** Seconds after which one that only this daemon can't take may come again: another takes it. */
+/** Retry-after of a request that only this daemon cannot take: another router can take it at once. */
 const RETRY_ELSEWHERE_S = 0.02;
-/** The part of the aim for which a request waits for a place, and how often that is looked at. */
+/** How long a request waits for a free slot, as a fraction of its latency aim. */
 const ROOM_WAIT_AIM_FRACTION = 0.2;
+/** How often a waiting request is checked again. */
 const POLL_INTERVAL_MS = 20;
+/** Retry-after of a request that is rejected because the servers are overloaded. */
 const RETRY_LATER_S = 0.4;
-/** ms after which the loads of all servers are asked for anew: before a reader is chosen, and before a run is sent. */
+/** The loads of all servers are queried again if older than this before a prefill server is chosen. */
 const PREFILL_LOAD_MAX_AGE_MS = 15;
+/** The same limit before a request is sent to a decode server. */
 const DECODE_LOAD_MAX_AGE_MS = 15;
-/** ms that a request waits for what this daemon doesn't know yet: once it has served, and before that. */
+/** How long a request waits for a daemon that is not ready: after it has been ready once, and before that. */
 const READY_WAIT_MS = 150;
 const FIRST_READY_WAIT_MS = 500;
 
 /**
- * One request, from its arrival to its answer, written straight down.
- * Invariants: nothing is sent while this daemon isn't sure of its configuration; a request is sent again only where
- * that can't run it twice, within the route's tries, and from the budget; the answer is given up on at once or goes on;
- * nothing is taken that its client may still wait for when this daemon ends.
+ * Handles one request from its arrival to the response. Invariants: nothing is sent while this daemon's configuration
+ * is not confirmed; a request is sent again only if that cannot run it twice, within the route's tries and the retry
+ * budget; a response that has started either continues or is aborted at once; no request is accepted whose client may
+ * still be waiting when this daemon ends.
  */
 export const RequestHandler = {
   make(deps: ServeTools) {
@@ -49,17 +52,21 @@
       const match = routes.find(request.host, request.path);
       if (!match) return Verdicts.not('unknownroute', `No route for ${request.host}${request.path}.`);
       if (RequestAuthentication.isKeyRequired(routes, match.route) && !deps.keysCurrent())
-        return refuse('keysunsure', 'Keys may have been taken away since this daemon last heard.');
+        return refuse(
+          'keysunsure',
+          'API keys may have been revoked since this daemon last confirmed its configuration.',
+        );
       const authenticated = RequestAuthentication.authenticate(routes, match.route, request.key);
       if (authenticated.err) return authenticated.val;
       const tenant = authenticated.val;
       const service = routes.pickService(match, deps.world.chance.real());
-      if (!service) return refuse('noservice', `Route ${match.route.name} leads nowhere.`);
+      if (!service) return refuse('noservice', `Route ${match.route.name} has no service with a positive weight.`);
       const deadline = Math.min(request.due, now() + match.route.timeout);
-      // No foresight bounds an answer that has begun: only the client's wait and the route's timeout do.
+      // No estimate bounds how long a response takes: only the client's deadline and the route's timeout do.
       if (deps.remainingLifetimeMs() < deadline - now())
-        return Verdicts.not('leaving', 'This daemon may end before it.', RETRY_ELSEWHERE_S);
-      if (!deps.serverList.young()) return refuse('oldlist', "The platform's list is too old to send by.");
+        return Verdicts.not('leaving', 'This daemon may shut down before the request completes.', RETRY_ELSEWHERE_S);
+      if (!deps.serverList.young())
+        return refuse('oldlist', "The platform's server list is too old to route requests by.");
       deps.log.note(request.id, 'taken', {
         at: service.name,
         word: match.route.name,
@@ -96,13 +103,13 @@
     };
     let hasServed = false;
     const isReady = (): boolean => deps.unavailable() === null && deps.routes() !== null && deps.serverList.young();
-    /** Waits a little for the newest configuration and a young list; what is still missing then is told by `accept`. */
+    /** Waits briefly for a confirmed configuration and a fresh list; `accept` reports what is still missing then. */
     const waitUntilReady = async (writer: AnswerSink): Promise<void> => {
       const until = now() + (hasServed ? READY_WAIT_MS : FIRST_READY_WAIT_MS);
       while (!isReady() && now() < until && !writer.gone()) await Timer.nap(deps.world.clock, POLL_INTERVAL_MS);
       hasServed ||= isReady();
     };
-    /** Seconds after which a request had better come back, because it would miss its aim now; null if it stays. */
+    /** Seconds after which a request that would miss its latency aim now should be retried; null to serve it now. */
     const retryDelaySeconds = (job: Job): number | null => {
       const prompt = job.request.prompt;
       if (!prompt) return null;
@@ -113,8 +120,8 @@
       return delayMs === null ? null : delayMs / 1000;
     };
     /**
-     * Whether the reading that waits before a request is too much for it, or for all: servers of either stage that are
-     * given more than they can read would else spend themselves on requests whose clients have left.
+     * Whether the prefill backlog is too long for this request, or for all. Otherwise overloaded servers of either
+     * stage would spend their time on requests whose clients have already disconnected.
      */
     const shouldShed = (job: Job): boolean => {
       const backlog = job.weighed?.reading;
@@ -122,7 +129,7 @@
       if (ReadDeadline.missed({ ...backlog, aim: job.route.aim, left: job.due - now() })) return true;
       return !backlog.beside && deps.shedders.of(job.service.name).sheds(backlog.waits);
     };
-    /** Waits a little where every server is full; false if that did not help. */
+    /** Waits briefly while every server is full; false if none had a free slot in time. */
     const waitForRoom = async (job: Job): Promise<boolean> => {
       const until = now() + job.route.aim * ROOM_WAIT_AIM_FRACTION;
       job.weighed = null;
@@ -133,7 +140,9 @@
       }
       return true;
     };
-    /** Whether the key still serves its request; one that has come to another tenant serves it as that one's. */
+    /**
+     * Whether the request's key is still valid; if it now belongs to another tenant, the request becomes that tenant's.
+     */
     const isKeyStillValid = (job: Job): boolean => {
       const routes = deps.routes();
       if (!routes?.tenants.keysRequired) return true;
@@ -142,13 +151,13 @@
       job.request = RequestAuthentication.withoutCredentials(routes, job.request, authenticated.val);
       return true;
     };
-    /** Reads and runs, again and again where that is safe, until there is an answer or no way on. */
+    /** Prefills and runs the request, with retries where that is safe, until it is answered or no option is left. */
     const prefillAndDecode = async (job: Job): Promise<void> => {
       const prompt = job.request.prompt;
       for (;;) {
         if (job.left.signal.aborted || job.due - now() < MIN_SEND_TIME_MS || job.arrivals >= job.route.tries) return;
         if (!isKeyStillValid(job)) return;
-        // A second read counts as a try, and so needs a third for the run itself.
+        // A second prefill counts as a try, so it needs another try to be left for the run itself.
         const mayPrefill = job.reads === 0 || job.arrivals + 2 <= job.route.tries;
         if (!job.handle && mayPrefill && prompt) await prefill(job);
         await deps.loadAggregator.refresh(DECODE_LOAD_MAX_AGE_MS);
@@ -168,9 +177,11 @@
       deps.budgets.of(job.service.name).request();
       if (job.request.prompt) await deps.loadAggregator.refresh(PREFILL_LOAD_MAX_AGE_MS);
       const delaySeconds = retryDelaySeconds(job);
-      if (shouldShed(job)) return finish(job, Verdicts.not('overload', 'Too much waits before it.', RETRY_LATER_S));
+      if (shouldShed(job))
+        return finish(job, Verdicts.not('overload', 'Too much work is queued ahead of the request.', RETRY_LATER_S));
       job.ahead = !job.isFirstTry && !deps.shedders.of(job.service.name).active();
-      if (delaySeconds !== null) return finish(job, Verdicts.not('deferred', 'It would be late now.', delaySeconds));
+      if (delaySeconds !== null)
+        return finish(job, Verdicts.not('deferred', 'The request would miss its latency aim now.', delaySeconds));
       if (!deps.placement.room(job.service, job.request.prompt) && !(await waitForRoom(job)))
         return finish(job, Verdicts.not('full', 'Every server is full.', RETRY_LATER_S));
       await prefillAndDecode(job);
@@ -179,16 +190,21 @@
         const complete = job.fault === null && job.arrivals > 0;
         if (complete) writer.end();
         else writer.cut();
-        finish(job, complete ? Verdicts.ran('whole', 'Whole.') : Verdicts.maybe('cut', job.fault?.why ?? 'cut'));
+        finish(
+          job,
+          complete
+            ? Verdicts.ran('whole', 'The response is complete.')
+            : Verdicts.maybe('cut', job.fault?.why ?? 'cut'),
+        );
         return null;
       }
-      if (writer.gone()) return finish(job, Verdicts.maybe('gone', 'The client went.'));
+      if (writer.gone()) return finish(job, Verdicts.maybe('gone', 'The client disconnected.'));
       if (!job.mayHaveRun && !isKeyStillValid(job))
-        return finish(job, Verdicts.not('revokedkey', 'Its key was taken away.'));
-      if (job.mayHaveRun) return finish(job, Verdicts.maybe('broken', job.fault?.why ?? 'It may have run.'));
-      return finish(job, refuse('noserver', job.fault?.why ?? 'No server can take this now.'));
+        return finish(job, Verdicts.not('revokedkey', 'The API key of the request was revoked.'));
+      if (job.mayHaveRun) return finish(job, Verdicts.maybe('broken', job.fault?.why ?? 'The request may have run.'));
+      return finish(job, refuse('noserver', job.fault?.why ?? 'No server can take the request now.'));
     };
-    /** Null once the sink has had its answer; else why there is none, for the client to be told at once. */
+    /** Returns null once the response has been written; otherwise the verdict that the client is to be given. */
     return async (request: Request, writer: AnswerSink): Promise<Verdict | null> => {
       await waitUntilReady(writer);
       const job = accept(request, writer);
--- a/packages/router/src/servetools.ts
+++ b/packages/router/src/servetools.ts
@@ -17,16 +17,16 @@
 import type { ServerLoads } from './serverloads.js';
 import type { ServerSpeed } from './serverspeed.js';
 
-/** What the serving of requests works with. */
+/** What request handling depends on. */
 export type ServeTools = {
   world: World;
   engine: Engine;
-  /** Null while requests may be served; else why not. */
+  /** Null while requests may be served; otherwise the verdict that explains why not. */
   unavailable: () => Verdict | null;
-  /** Whether what this daemon knows of keys may still be gone by. */
+  /** Whether this daemon's knowledge of API keys is recent enough to rely on. */
   keysCurrent: () => boolean;
   revocation: ReturnType<typeof KeyRevocation.make>;
-  /** ms that this daemon still has for a request taken now. */
+  /** Time in ms that this daemon has left for a request accepted now. */
   remainingLifetimeMs: () => number;
   routes: () => Routes | null;
   serverList: ServerListing;
@@ -39,12 +39,12 @@
   wait: ReturnType<typeof ReadWait.make>;
   placement: ReturnType<typeof Placement.make>;
   budgets: ReturnType<typeof Budgets.make>;
-  /** What was done with requests, step by step. */
+  /** Records the steps taken for requests. */
   log: ReturnType<typeof RequestLog.make>;
   shedders: { of(service: string): ReturnType<typeof LoadShedder.make> };
   counters: ReturnType<typeof OutcomeCounters.make>;
-  /** This daemon saw a server fail. */
+  /** Reports that a server failed a request of this daemon. */
   suspect: (server: Server, why: string) => void;
-  /** A server turned a request of this daemon away. */
+  /** Reports that a server rejected a request of this daemon. */
   turned: (server: Server) => void;
 };
--- a/packages/router/src/statusdesk.ts
+++ b/packages/router/src/statusdesk.ts
@@ -16,7 +16,7 @@
   isConfirmed: () => boolean;
   view: () => View | null;
   isActingHead: () => boolean;
-  /** The list as it may be sent by; null where this daemon sends nothing. */
+  /** Age and freshness of the server list; null if this daemon has none to report. */
   list: () => { age: number; isFresh: boolean } | null;
   msSinceHeadReply: () => number | null;
   suspected: () => readonly string[];
@@ -24,7 +24,7 @@
 };
 const finite = (ms: number | null): number | null => (ms !== null && Number.isFinite(ms) ? ms : null);
 
-/** Where a router or control replica tells operators how it stands. Invariant: nothing is gathered or sent unasked. */
+/** Answers operators' status queries. Invariant: status is collected and sent only on request. */
 export const StatusDesk = {
   forms: {
     request: Type.Object({ servers: Type.Boolean() }, { additionalProperties: false }),
--- a/packages/router/src/words.ts
+++ b/packages/router/src/words.ts
@@ -5,25 +5,25 @@
 const strict = { additionalProperties: false } as const;
 const NullableMark = Type.Union([Mark, Type.Null()]);
 
-/** Server, runs, reads, and hundreds of tokens to be read. */
+/** Rows of server id, runs, prefills, and prompt tokens to prefill in hundreds. */
 const LoadRows = Type.Array(Type.Tuple([Type.String(), Type.Integer(), Type.Integer(), Type.Integer()]), {
   maxItems: 4096,
 });
 
-/** What routers and control replicas say to each other, beside purge and the core's own words. */
+/** Schemas of the messages between routers and control replicas, other than those of gossip and the registry. */
 export const Words = {
-  /** A router tells what it holds. */
+  /** A router's periodic check-in at the head: the versions that it holds, and its load in progress. */
   checkinRequest: Type.Object(
     {
       version: Type.Integer(),
       list: NullableMark,
       epoch: Type.Integer(),
-      peers: Type.String({ description: 'digest of the peers held, so that they come again only when they changed' }),
+      peers: Type.String({ description: 'digest of the peers held, so that they are sent again only after a change' }),
       load: Type.Object({ read: Type.Number(), beside: Type.Number(), run: Type.Number() }, strict),
     },
     strict,
   ),
-  /** The head says whether that is the newest; `age` is of the list, in ms at the moment of the reply. */
+  /** The head's reply: the newest versions. `age` is the age of the list in ms at the time of the reply. */
   checked: Type.Object(
     {
       ok: Type.Boolean(),
@@ -36,22 +36,23 @@
     },
     strict,
   ),
-  /** A router asks another for its list; one that is held under this mark need not come again. */
+  /** A router asks another for its server list; a list with the version stamp `mark` need not be sent again. */
   ask: Type.Object({ mark: Type.Optional(NullableMark) }, strict),
-  /** The list and its age; where it is the one held, its mark and no rows. */
+  /** The list and its age in ms; no rows if the requester already has it. */
   list: Type.Object(
     { mark: NullableMark, age: Type.Number(), servers: Type.Union([Type.Unknown(), Type.Null()]) },
     strict,
   ),
-  /** What a router has under way at servers, in rows of id, runs, reads, tokens. */
+  /** Load in progress of one router, by server. */
   loads: Type.Object({ rows: LoadRows }, strict),
-  /** The rows of a router that changed, or all of them, as they are now, to the member that adds up loads. */
+  /** A router's changed rows, or all of them (`whole`), sent to the replica that aggregates loads. */
   ownLoads: Type.Object({ whole: Type.Boolean(), rows: LoadRows }, strict),
-  /** A router asks for the loads of all servers before it chooses one, and says which list it holds. */
+  /** A router asks for the loads of all servers before it chooses one; `list` is the stamp of the list it holds. */
   askLoads: Type.Object({ list: NullableMark }, strict),
   /**
-   * What all routers together have under way, at the servers where that is anything: by places in the list of that
-   * mark, in fours of place, runs, reads and hundreds of tokens, and by name those that it does not show.
+   * Load in progress of all routers together, for servers that have any. `places` has four numbers for each server:
+   * its index in the requester's list, runs, prefills, and tokens in hundreds. `rows` has the servers that are not in
+   * that list.
    */
   allLoads: Type.Object({ places: Type.Array(Type.Integer(), { maxItems: 16384 }), rows: LoadRows }, strict),
   acknowledgement: Type.Object({ ok: Type.Boolean() }, strict),
