--- a/packages/router/src/duties.test.ts
+++ b/packages/router/src/duties.test.ts
@@ -15,7 +15,7 @@
 describe('publishing of the server list', () => {
   const make = () => {
     const time = testClock();
-    const shelf = Shelf.make(SharedSound.doc);
+    const recordStore = Shelf.make(SharedSound.doc);
     const state = { fence: 3 as number | null, list: [server('a', 'decode')] as Server[] | null, polls: 0 };
     const source = {
       poll: async () => {
@@ -24,11 +24,11 @@
         return state.list ? Ok(state.list) : Err('rate');
       },
     };
-    const purge = { publish: (d: Doc) => shelf.offer(d) } as unknown as Purging;
-    const duty = ServerListPublisher.make({
+    const purge = { publish: (d: Doc) => recordStore.offer(d) } as unknown as Purging;
+    const publisher = ServerListPublisher.make({
       ...{ clock: time.clock, listSource: source, purge, intervalMs: 1000, fence: () => state.fence },
     });
-    return { time, shelf, state, duty };
+    return { time, shelf: recordStore, state, duty: publisher };
   };
   it('publishes a list once and does not publish an unchanged list again', async () => {
     const { time, shelf, duty } = make();
@@ -80,7 +80,7 @@
   const view: View = { epoch: 7, voters: [], chain: [{ id: 'k1', born: 'b-k1', addr: '10.0.1.1:2' }] };
   const make = () => {
     const time = testClock(),
-      town = testTown();
+      network = testTown();
     const state = {
       speaks: true,
       list: { mark: [7, 0] as Mark, age: 200 } as { mark: Mark; age: number } | null,
@@ -88,37 +88,37 @@
       held: 1,
       tails: 0,
     };
-    const head = town.post(daemon('k1', 'registry'));
-    const desk = ReplicaHandler.make({
+    const head = network.post(daemon('k1', 'registry'));
+    const checkinHandler = ReplicaHandler.make({
       ...{ clock: time.clock, post: head, view: () => view, speaks: () => state.speaks },
       ...{ version: () => state.version, list: () => state.list },
     });
     const router = (id: string) => {
-      const post = town.post(daemon(id));
-      const shelf = Shelf.make(SharedSound.doc);
+      const post = network.post(daemon(id));
+      const recordStore = Shelf.make(SharedSound.doc);
       const list = ServerList.make(
         time.clock,
         () => 2000,
         () => undefined,
       );
-      const purge = { learn: (d: Doc) => shelf.offer(d) } as unknown as Purging;
+      const purge = { learn: (d: Doc) => recordStore.offer(d) } as unknown as Purging;
       const line = {
         view: () => view,
         learn: () => undefined,
         look: () => Promise.resolve(),
       } as unknown as ControlClient;
-      const made = HeadLine.make({
-        ...{ clock: time.clock, post, line, shelf, purge, list, version: () => state.held },
+      const headCheckin = HeadLine.make({
+        ...{ clock: time.clock, post, line, shelf: recordStore, purge, list, version: () => state.held },
         load: () => ({ read: 10, beside: 0, run: 2 }),
         tail: () => {
           state.tails++;
           return Promise.resolve(true);
         },
       });
-      return { shelf, list, line: made };
+      return { shelf: recordStore, list, line: headCheckin };
     };
     const doc: Doc = { name: 'list', mark: [7, 0], body: ListRows.pack([server('a', 'decode')]) };
-    return { time, town, state, desk, router, doc };
+    return { time, network, state, desk: checkinHandler, router, doc };
   };
   it('takes the list age from the head, counted from before the check-in was sent', async () => {
     const { router, doc } = make();
@@ -138,15 +138,15 @@
     expect(r.line.silent()).to.equal(Infinity);
   });
   it('fetches a newer list from the head only after gossip had time to deliver it', async () => {
-    const { time, town, router, doc } = make();
+    const { time, network, router, doc } = make();
     const r = router('r2');
-    town.post(daemon('k9', 'registry'));
+    network.post(daemon('k9', 'registry'));
     await r.line.tick();
     expect(r.list.young()).to.equal(false);
-    expect(town.asked.some((a) => a.includes('purge.pull'))).to.equal(false);
+    expect(network.asked.some((a) => a.includes('purge.pull'))).to.equal(false);
     await time.pass(600);
     await r.line.tick();
-    expect(town.asked.some((a) => a.includes('purge.pull'))).to.equal(true);
+    expect(network.asked.some((a) => a.includes('purge.pull'))).to.equal(true);
     r.shelf.offer(doc);
     await r.line.tick();
     expect(r.list.young()).to.equal(true);
@@ -182,14 +182,14 @@
     expect(state.tails).to.equal(1);
   });
   it('counts the routers and sends a router its peers again only after they changed', async () => {
-    const { time, town, router, desk, doc } = make();
+    const { time, network, router, desk, doc } = make();
     const all = ['r2', 'r3', 'r4'].map(router);
     for (const r of all) r.shelf.offer(doc);
     for (let i = 0; i < 2; i++) for (const r of all) await r.line.tick();
     expect(all.map((r) => r.line.routers())).to.deep.equal([3, 3, 3]);
     expect(all[0]!.line.peers().map((p) => p.id)).to.deep.equal(['r3', 'r4']);
     expect(desk.load()).to.deep.equal({ read: 30, beside: 0, run: 6 });
-    town.down.add('10.0.1.1:2');
+    network.down.add('10.0.1.1:2');
     await time.pass(2100);
     expect(desk.load()).to.deep.equal({ read: 0, beside: 0, run: 0 });
     expect(Hash.of(all[0]!.line.peers())).to.be.a('string');
--- a/packages/router/src/leaving.test.ts
+++ b/packages/router/src/leaving.test.ts
@@ -10,17 +10,17 @@
     const time = testClock();
     let slept = 0;
     const clock = { ...time.clock, mono: () => time.clock.mono() + slept, wall: () => time.clock.wall() + slept };
-    const startup = {
+    const options = {
       ...{ id: 'r1', addr: '10.0.0.1:1', zone: 'z1', tunes: Tuned, seeds: () => [], drain: 3000 },
       budget: { ratio: 0.2, window: 10_000, slack: 0 },
       revocation: { within: 5000, everywhere: false },
     };
     const source = { poll: () => Promise.resolve(Err('none')) };
-    const router = Router.make(testWorld(clock), startup, testEngine([], []), source);
+    const router = Router.make(testWorld(clock), options, testEngine([], []), source);
     const code = async (): Promise<string | undefined> => {
-      const told = router.serve(request(clock.mono()), testResponseWriter().sink);
+      const pending = router.serve(request(clock.mono()), testResponseWriter().sink);
       await time.pass(600);
-      return (await told)?.code;
+      return (await pending)?.code;
     };
     router.start();
     router.purge.publish({
@@ -56,8 +56,8 @@
    * duration of a response.
    */
   it('rejects requests whose client may still wait at its end, however short earlier responses were', async () => {
-    const chance = Dice.seeded(71);
-    const draw = (least: number, most: number): number => Math.round(least + chance.real() * (most - least));
+    const random = Dice.seeded(71);
+    const draw = (least: number, most: number): number => Math.round(least + random.real() * (most - least));
     for (let seed = 0; seed < 60; seed++) {
       const timeout = draw(500, 8000);
       const wait = draw(500, 8000);
--- a/packages/router/src/listduty.ts
+++ b/packages/router/src/listduty.ts
@@ -29,12 +29,11 @@
       const body = ListRows.pack(servers),
         digest = Hash.of(body);
       if (published && published.mark[0] === fence && published.digest === digest) {
-        published = { ...published, requestedAt: requestedAt, servers };
+        published = { ...published, requestedAt, servers };
         return;
       }
       const mark: Mark = [fence, published && published.mark[0] === fence ? published.mark[1] + 1 : 0];
-      if (deps.purge.publish({ name: 'list', mark, body }))
-        published = { mark, requestedAt: requestedAt, digest: digest, servers };
+      if (deps.purge.publish({ name: 'list', mark, body })) published = { mark, requestedAt, digest, servers };
     };
     const tick = async (): Promise<void> => {
       const fence = deps.fence();
--- a/packages/router/src/play.test.ts
+++ b/packages/router/src/play.test.ts
@@ -40,25 +40,25 @@
   later?: { ms: number; tenants: Tenant[] };
   /** Tenants of a third configuration, which takes effect `ms` after the second. */
   again?: { ms: number; tenants: Tenant[] };
-  keysKnown?: boolean;
+  keysCurrent?: boolean;
   /** Duration in ms of a query for the loads of servers. */
-  asking?: number;
-  shut?: Verdict;
-  old?: boolean;
+  loadQueryMs?: number;
+  unavailable?: Verdict;
+  listTooOld?: boolean;
   /** Remaining lifetime of the daemon in ms, for each request in turn; the last value holds for all later ones. */
   left?: number | readonly number[];
   /** Time in ms after which the list is refreshed. */
-  renewed?: number;
+  listRefreshedAfterMs?: number;
   /** Prompt tokens that other routers have queued at servers. */
   busy?: Readonly<Record<string, number>>;
   /** Client timeout in ms of a retry that follows a first attempt with 8 s. */
   wait?: number;
-  after?: (t: ReturnType<typeof testClock>, sink: ReturnType<typeof testResponseWriter>) => Promise<void>;
+  after?: (t: ReturnType<typeof testClock>, output: ReturnType<typeof testResponseWriter>) => Promise<void>;
 };
 const FLEET = [server('p1', 'prefill'), server('d1', 'decode'), server('d2', 'decode')];
 
 /** Runs one scenario and returns what happened. */
-export const play = async (s: Scenario) => {
+export const play = async (scenario: Scenario) => {
   const time = testClock(),
     calls: string[] = [],
     asked: SentRequest[] = [],
@@ -70,8 +70,8 @@
     () => 2000,
     () => undefined,
   );
-  list.take(s.servers ?? FLEET, time.clock.mono(), 'shared');
-  if (s.old) await time.pass(2001);
+  list.take(scenario.servers ?? FLEET, time.clock.mono(), 'shared');
+  if (scenario.listTooOld) await time.pass(2001);
   const loads = ServerLoads.make(),
     health = ServerHealth.make(time.clock),
     prefixCache = KeptParts.make(() => 400_000),
@@ -84,11 +84,14 @@
     () => terms,
     () => 1,
   );
-  for (let i = 0; i < (s.budget ?? 20); i++) budget.request();
-  let routes = RouteTable.make({ ...routing(s.route), ...(s.tenants ? { tenants: s.tenants } : {}) });
-  const lefts = typeof s.left === 'number' ? [s.left] : [...(s.left ?? [Infinity])];
-  const left = (): number => (lefts.length > 1 ? lefts.shift()! : lefts[0]!);
-  const tools = {
+  for (let i = 0; i < (scenario.budget ?? 20); i++) budget.request();
+  let routes = RouteTable.make({
+    ...routing(scenario.route),
+    ...(scenario.tenants ? { tenants: scenario.tenants } : {}),
+  });
+  const lifetimes = typeof scenario.left === 'number' ? [scenario.left] : [...(scenario.left ?? [Infinity])];
+  const remainingLifetimeMs = (): number => (lifetimes.length > 1 ? lifetimes.shift()! : lifetimes[0]!);
+  const placementDependencies = {
     chance: world.chance,
     zone: 'z1',
     list,
@@ -106,13 +109,16 @@
     () => routes,
     () => 5000,
   );
-  const steps = RequestLog.make(time.clock),
+  const requestLog = RequestLog.make(time.clock),
     shedder = LoadShedder.make(time.clock, world.chance);
   const serve = RequestHandler.make({
-    log: steps,
+    log: requestLog,
     counters: OutcomeCounters.make(),
     shedders: { of: () => shedder },
-    loadAggregator: { refresh: () => (s.asking === undefined ? Promise.resolve() : Timer.nap(time.clock, s.asking)) },
+    loadAggregator: {
+      refresh: () =>
+        scenario.loadQueryMs === undefined ? Promise.resolve() : Timer.nap(time.clock, scenario.loadQueryMs),
+    },
     ...{
       world,
       serverList: list,
@@ -123,43 +129,45 @@
       speed: slowdown,
       wait: prefillWait,
       budgets: { of: () => budget },
-      engine: testEngine(s.script, calls, asked),
+      engine: testEngine(scenario.script, calls, asked),
     },
     ...{
-      unavailable: () => s.shut ?? null,
-      remainingLifetimeMs: left,
-      keysCurrent: () => s.keysKnown ?? true,
+      unavailable: () => scenario.unavailable ?? null,
+      remainingLifetimeMs,
+      keysCurrent: () => scenario.keysCurrent ?? true,
       revocation,
       routes: () => routes,
-      placement: Placement.make(tools),
+      placement: Placement.make(placementDependencies),
     },
     turned: (x) => void (health.turned(x.id) && turned.push(x.id)),
     suspect: (x) => void (health.bad(x.id) && suspected.push(x.id)),
   });
-  loads.heard(() => new Map(Object.entries(s.busy ?? {}).map(([id, tokens]) => [id, { runs: 0, reads: 1, tokens }])));
-  if (s.wait !== undefined) await serve(request(time.clock.mono(), s.request), testResponseWriter().sink);
-  const out = testResponseWriter();
-  const more = s.wait === undefined ? {} : { wait: s.wait };
-  const done = serve(request(time.clock.mono(), { ...s.request, ...more }), out.sink);
-  if (s.renewed !== undefined) {
-    await time.pass(s.renewed);
-    list.take(s.servers ?? FLEET, time.clock.mono(), 'shared');
+  loads.heard(
+    () => new Map(Object.entries(scenario.busy ?? {}).map(([id, tokens]) => [id, { runs: 0, reads: 1, tokens }])),
+  );
+  if (scenario.wait !== undefined) await serve(request(time.clock.mono(), scenario.request), testResponseWriter().sink);
+  const output = testResponseWriter();
+  const more = scenario.wait === undefined ? {} : { wait: scenario.wait };
+  const done = serve(request(time.clock.mono(), { ...scenario.request, ...more }), output.sink);
+  if (scenario.listRefreshedAfterMs !== undefined) {
+    await time.pass(scenario.listRefreshedAfterMs);
+    list.take(scenario.servers ?? FLEET, time.clock.mono(), 'shared');
   }
-  for (const next of [s.later, s.again]) {
+  for (const next of [scenario.later, scenario.again]) {
     if (!next) continue;
     await time.pass(next.ms);
-    routes = RouteTable.make({ ...routing(s.route), tenants: next.tenants });
+    routes = RouteTable.make({ ...routing(scenario.route), tenants: next.tenants });
     revocation.configurationChanged();
   }
-  if (s.old || s.shut) await time.pass(600);
-  if (s.after) await s.after(time, out);
+  if (scenario.listTooOld || scenario.unavailable) await time.pass(600);
+  if (scenario.after) await scenario.after(time, output);
   const verdict = await done;
   return {
     calls,
     asked: asked.map((a) => a.request),
     urgencies: asked.map((a) => a.urgency),
-    steps: steps.stepsOf('q1'),
-    log: out.log,
+    steps: requestLog.stepsOf('q1'),
+    log: output.log,
     verdict,
     suspected,
     turned,
--- a/packages/router/src/replicahandler.ts
+++ b/packages/router/src/replicahandler.ts
@@ -45,7 +45,7 @@
     };
     const recordCheckin = (ident: Ident, load: Load): void => {
       if (!entries.delete(ident.id)) peerSelector.joined(ident.id);
-      entries.set(ident.id, { ident: ident, load, expiresAt: deps.clock.mono() + ROUTER_EXPIRY_MS });
+      entries.set(ident.id, { ident, load, expiresAt: deps.clock.mono() + ROUTER_EXPIRY_MS });
     };
     const liveEntries = (): RouterEntry[] => {
       evictExpired();
--- a/packages/router/src/requestlog.test.ts
+++ b/packages/router/src/requestlog.test.ts
@@ -37,7 +37,7 @@
       ['taken llm r', 'beside', 'done no noserver'],
     ],
     ['one without a route', { script: [], request: { path: '/other/' } }, ['done no unknownroute']],
-    ['one under a list that is too old', { script: [], old: true }, ['done no oldlist']],
+    ['one under a list that is too old', { script: [], listTooOld: true }, ['done no oldlist']],
   ];
   for (const [name, setting, want] of cases) {
     it(`are reported for ${name}`, async () => {
--- a/packages/router/src/requestlog.ts
+++ b/packages/router/src/requestlog.ts
@@ -17,14 +17,14 @@
     let nextIndex = 0;
     return {
       note(id: string, what: RequestStep['what'], details: StepDetails = NO_DETAILS): void {
-        ring[nextIndex] = { id, wall: clock.wall(), what, details: details };
+        ring[nextIndex] = { id, wall: clock.wall(), what, details };
         nextIndex = (nextIndex + 1) % capacity;
       },
       /** Steps of one request that are still held, oldest first. */
       stepsOf: (id: string): RequestStep[] =>
         [...ring.slice(nextIndex), ...ring.slice(0, nextIndex)]
           .filter((entry) => entry.id === id)
-          .map(({ wall, what, details: details }) => ({
+          .map(({ wall, what, details }) => ({
             ...{ what, wall, at: '', word: '', tokens: 0, ahead: 0, why: '' },
             ...details,
           })),
--- a/packages/router/src/runner.ts
+++ b/packages/router/src/runner.ts
@@ -21,7 +21,7 @@
 const FIRST_EVENT_TIMEOUT_MS = 2200;
 /** From this many runs on a server counts as busy. */
 const BUSY_RUNS = 8;
-/** The same limit for the time between two events. */
+/** Like FIRST_EVENT_TIMEOUT_MS, for the time between two events. */
 const NEXT_EVENT_TIMEOUT_MS = 1300;
 /** Expected time between two events at an idle server, and what each concurrent run adds to it. */
 const IDLE_EVENT_GAP_MS = 35;
--- a/packages/router/src/serve.test.ts
+++ b/packages/router/src/serve.test.ts
@@ -154,17 +154,17 @@
     ],
     [
       'a request waits briefly for a fresh list',
-      { ...SHORT_PROMPT, script: [{ run: 'ok', events: 1 }], old: true, renewed: 400 },
+      { ...SHORT_PROMPT, script: [{ run: 'ok', events: 1 }], listTooOld: true, listRefreshedAfterMs: 400 },
       { calls: ['run d'], log: ['1;', 'end'] },
     ],
     [
       'nothing is sent under a list that is too old',
-      { script: [], old: true },
+      { script: [], listTooOld: true },
       { calls: [], code: 'oldlist', ran: 'no' },
     ],
     [
       'nothing is sent while the configuration is not confirmed',
-      { script: [], shut: Verdicts.not('asking', 'learning', 0.2) },
+      { script: [], unavailable: Verdicts.not('asking', 'learning', 0.2) },
       { calls: [], code: 'asking', ran: 'no' },
     ],
     [
@@ -223,10 +223,10 @@
       ...SHORT_PROMPT,
       route: { resumable: false },
       script: [{ run: 'ok', events: 1, hang: true }],
-      after: async (t, sink) => {
+      after: async (t, output) => {
         await t.pass(3000);
-        expect(sink.log).to.deep.equal([sink.log[0], '1;']);
-        sink.leave();
+        expect(output.log).to.deep.equal([output.log[0], '1;']);
+        output.leave();
       },
     });
     expect(got.calls).to.have.length(1);
@@ -237,9 +237,9 @@
     const got = await play({
       ...SHORT_PROMPT,
       script: [{ run: 'ok', hang: true }],
-      after: async (t, sink) => {
+      after: async (t, output) => {
         await t.settle();
-        sink.leave();
+        output.leave();
       },
     });
     expect(got.calls).to.have.length(1);
--- a/packages/router/src/serve.ts
+++ b/packages/router/src/serve.ts
@@ -25,7 +25,7 @@
 const RETRY_LATER_S = 0.4;
 /** The loads of all servers are queried again if older than this before a prefill server is chosen. */
 const PREFILL_LOAD_MAX_AGE_MS = 15;
-/** The same limit before a request is sent to a decode server. */
+/** Like PREFILL_LOAD_MAX_AGE_MS, before a request is sent to a decode server. */
 const DECODE_LOAD_MAX_AGE_MS = 15;
 /** How long a request waits for a daemon that is not ready: after it has been ready once, and before that. */
 const READY_WAIT_MS = 150;
@@ -78,7 +78,7 @@
       return {
         ...{
           request: RequestAuthentication.withoutCredentials(routes, request, tenant),
-          writer: writer,
+          writer,
           service,
           left: cancellation,
         },
@@ -101,13 +101,13 @@
         avoid: new Set(),
       };
     };
-    let hasServed = false;
+    let wasReady = false;
     const isReady = (): boolean => deps.unavailable() === null && deps.routes() !== null && deps.serverList.young();
     /** Waits briefly for a confirmed configuration and a fresh list; `accept` reports what is still missing then. */
     const waitUntilReady = async (writer: AnswerSink): Promise<void> => {
-      const until = now() + (hasServed ? READY_WAIT_MS : FIRST_READY_WAIT_MS);
+      const until = now() + (wasReady ? READY_WAIT_MS : FIRST_READY_WAIT_MS);
       while (!isReady() && now() < until && !writer.gone()) await Timer.nap(deps.world.clock, POLL_INTERVAL_MS);
-      hasServed ||= isReady();
+      wasReady ||= isReady();
     };
     /** Seconds after which a request that would miss its latency aim now should be retried; null to serve it now. */
     const retryDelaySeconds = (job: Job): number | null => {
@@ -173,7 +173,7 @@
       deps.world.tell({ what: 'request', key: id, ran: verdict.ran, code: verdict.code, route: job.route.name });
       return verdict;
     };
-    const process = async (job: Job, writer: AnswerSink): Promise<Verdict | null> => {
+    const serveJob = async (job: Job, writer: AnswerSink): Promise<Verdict | null> => {
       deps.budgets.of(job.service.name).request();
       if (job.request.prompt) await deps.loadAggregator.refresh(PREFILL_LOAD_MAX_AGE_MS);
       const delaySeconds = retryDelaySeconds(job);
@@ -211,7 +211,7 @@
       const { key: keyDigest } = job.request;
       const stopTracking =
         keyDigest === null || job.route.open === true ? null : deps.revocation.track(keyDigest, job.left);
-      const verdict = await process(job, writer);
+      const verdict = await serveJob(job, writer);
       stopTracking?.();
       return verdict;
     };
--- a/packages/router/src/stand.test.ts
+++ b/packages/router/src/stand.test.ts
@@ -108,7 +108,7 @@
 
 /** Model server client that follows a script and records its calls. */
 export const testEngine = (script: ScriptedResult[], calls: string[], asked: SentRequest[] = []): Engine => {
-  let n = 0;
+  let handleCount = 0;
   const fault = (code: SendFault['code'], ran: SendFault['ran'] | undefined): Result<never, SendFault> =>
     Err({ code, ran: ran ?? (code === 'broken' || code === 'late' || code === 'gone' ? 'maybe' : 'no'), why: code });
   return {
@@ -118,19 +118,19 @@
       calls.push(`read ${s.id}`);
       if (!act || !('read' in act)) return Promise.resolve(fault('broken', 'maybe'));
       return Promise.resolve(
-        act.read === 'ok' ? Ok({ server: s, id: `h${++n}`, tokens: 1 }) : fault(act.read, act.ran),
+        act.read === 'ok' ? Ok({ server: s, id: `h${++handleCount}`, tokens: 1 }) : fault(act.read, act.ran),
       );
     },
-    async run(s, request, from, after, terms, heard) {
+    async run(s, request, from, after, terms, response) {
       asked.push({ request, urgency: terms.urgency });
       const act = script.shift();
       calls.push(`run ${s.id}${from ? ` from ${from.id}` : ''}${after !== null ? ` after ${after}` : ''}`);
       if (!act || !('run' in act)) return fault('broken', 'maybe');
       if (act.events) {
-        heard.stir();
-        if (!heard.head(act.status ?? 200, [['x-seal', s.id]])) return fault('gone', 'maybe');
+        response.stir();
+        if (!response.head(act.status ?? 200, [['x-seal', s.id]])) return fault('gone', 'maybe');
         const first = Number(after ?? 0);
-        for (let i = 1; i <= act.events; i++) heard.event(String(first + i), Buffer.from(`${first + i};`));
+        for (let i = 1; i <= act.events; i++) response.event(String(first + i), Buffer.from(`${first + i};`));
       }
       if (act.hang) {
         return new Promise((done) => {
@@ -156,8 +156,8 @@
 export const testResponseWriter = () => {
   const log: string[] = [];
   let disconnect: () => void = () => undefined;
-  let away = false;
-  const sink: AnswerSink = {
+  let disconnected = false;
+  const writer: AnswerSink = {
     head: (status, headers) => void log.push(`${status} ${headers.map(([, v]) => v).join()}`),
     bytes: (b) => {
       log.push(Buffer.from(b).toString());
@@ -165,16 +165,16 @@
     },
     end: () => void log.push('end'),
     cut: () => void log.push('cut'),
-    gone: () => away,
+    gone: () => disconnected,
     left: (fn) => {
       disconnect = fn;
     },
   };
   return {
-    sink,
+    sink: writer,
     log,
     leave(): void {
-      away = true;
+      disconnected = true;
       disconnect();
     },
   };
--- a/packages/router/src/tenantkeys.test.ts
+++ b/packages/router/src/tenantkeys.test.ts
@@ -9,9 +9,9 @@
   { name: 'two', keys: [THEIRS] },
 ];
 const without = [{ name: 'one', keys: [] }, tenants[1]!];
-const asking = (key: string | null) => ({
+const withKey = (keyDigest: string | null) => ({
   ...SHORT_PROMPT.request,
-  ...{ key, headers: [['Authorization', 'Token mine'] as const, ['X-Kept', '1'] as const] },
+  ...{ key: keyDigest, headers: [['Authorization', 'Token mine'] as const, ['X-Kept', '1'] as const] },
 });
 const run = { run: 'ok', events: 1 } as const;
 const BOUND = 5000;
@@ -20,39 +20,39 @@
   const cases: [string, Scenario, { code?: string; tenant?: string | null; headers?: string[] }][] = [
     [
       'is served as the tenant that holds its key, and the key is not passed on',
-      { script: [run], tenants, request: asking(THEIRS) },
+      { script: [run], tenants, request: withKey(THEIRS) },
       { tenant: 'two', headers: ['X-Kept'] },
     ],
-    ['without a key is refused', { script: [], tenants, request: asking(null) }, { code: 'nokey' }],
-    ['with an unknown key is refused', { script: [], tenants, request: asking('x') }, { code: 'unknownkey' }],
+    ['without a key is refused', { script: [], tenants, request: withKey(null) }, { code: 'nokey' }],
+    ['with an unknown key is refused', { script: [], tenants, request: withKey('x') }, { code: 'unknownkey' }],
     [
       'is refused if the list of tenants is empty',
-      { script: [], tenants: [], request: asking(MINE) },
+      { script: [], tenants: [], request: withKey(MINE) },
       { code: 'unknownkey' },
     ],
     [
       'on an open route needs no key, and an unknown key is not passed on',
-      { script: [run], tenants, route: { open: true }, request: asking('x') },
+      { script: [run], tenants, route: { open: true }, request: withKey('x') },
       { tenant: null, headers: ['X-Kept'] },
     ],
     [
       'on an open route with a valid key is served as the key\u2019s tenant',
-      { script: [run], tenants, route: { open: true }, request: asking(MINE) },
+      { script: [run], tenants, route: { open: true }, request: withKey(MINE) },
       { tenant: 'one', headers: ['X-Kept'] },
     ],
     [
       'is passed on unchanged if the configuration has no list of tenants',
-      { script: [run], request: asking(MINE) },
+      { script: [run], request: withKey(MINE) },
       { tenant: null, headers: ['Authorization', 'X-Kept'] },
     ],
     [
       'is not served while this daemon may have missed a key revocation',
-      { script: [], tenants, keysKnown: false, request: asking(MINE) },
+      { script: [], tenants, keysCurrent: false, request: withKey(MINE) },
       { code: 'keysunsure' },
     ],
     [
       'on an open route is served although this daemon may have missed a key revocation',
-      { script: [run], tenants, keysKnown: false, route: { open: true }, request: asking(null) },
+      { script: [run], tenants, keysCurrent: false, route: { open: true }, request: withKey(null) },
       { tenant: null },
     ],
   ];
@@ -72,7 +72,7 @@
   it('is sent with the urgency of its tenant\u2019s rank, which precedes the route\u2019s', async () => {
     const of = async (rank: number) => {
       const ranked = [{ name: 'one', keys: [MINE], rank }];
-      const longer = { ...asking(MINE), prompt: prompt(1500, 1000) };
+      const longer = { ...withKey(MINE), prompt: prompt(1500, 1000) };
       const got = await play({ script: [run], tenants: ranked, route: { rank: 2 }, request: longer });
       return got.urgencies[0]!;
     };
@@ -80,7 +80,7 @@
   });
   it('is not run if its key is revoked while it waits', async () => {
     const got = await play({
-      ...{ script: [run], asking: 50, tenants, request: asking(MINE), later: { ms: 20, tenants: without } },
+      ...{ script: [run], loadQueryMs: 50, tenants, request: withKey(MINE), later: { ms: 20, tenants: without } },
       after: (t) => t.pass(2000),
     });
     expect(got.calls).to.deep.equal([]);
@@ -89,7 +89,7 @@
   it('is not sent to a second server after its key was revoked, and is reported as possibly run', async () => {
     const got = await play({
       script: [{ run: 'late', hang: true }, run],
-      ...{ tenants, request: asking(MINE), later: { ms: 20, tenants: without } },
+      ...{ tenants, request: withKey(MINE), later: { ms: 20, tenants: without } },
       after: (t) => t.pass(2500),
     });
     expect(got.calls).to.have.length(1);
@@ -100,7 +100,7 @@
     const got = await play({
       script: [{ run: 'ok', events: 1, hang: true }],
       route: { resumable: false },
-      ...{ tenants, request: asking(MINE), later: { ms: 20, tenants: without } },
+      ...{ tenants, request: withKey(MINE), later: { ms: 20, tenants: without } },
       async after(t, out) {
         await t.pass(BOUND - 700);
         before = out.log.at(-1)!;
@@ -113,7 +113,7 @@
     const got = await play({
       script: [{ run: 'ok', events: 1, hang: true }],
       route: { resumable: false, open: true },
-      ...{ tenants, request: asking(MINE), later: { ms: 20, tenants: without } },
+      ...{ tenants, request: withKey(MINE), later: { ms: 20, tenants: without } },
       async after(t, out) {
         await t.pass(BOUND);
         expect(out.log.at(-1)).to.equal('1;');
@@ -126,7 +126,7 @@
     const got = await play({
       script: [{ run: 'ok', events: 1, hang: true }],
       route: { resumable: false },
-      ...{ tenants, request: asking(MINE), later: { ms: 20, tenants: without }, again: { ms: 1000, tenants } },
+      ...{ tenants, request: withKey(MINE), later: { ms: 20, tenants: without }, again: { ms: 1000, tenants } },
       async after(t, out) {
         await t.pass(BOUND);
         expect(out.log.at(-1)).to.equal('1;');
