--- a/packages/router/src/controlreplica.ts
+++ b/packages/router/src/controlreplica.ts
@@ -13,6 +13,10 @@
 import { StageDuty } from './stageduty.js';
 import { StatusDesk } from './statusdesk.js';
 
+/**
+ * Options of a control replica only: how many machines may be lost at once, whether it may take part in forming the
+ * first view (otherwise it only joins an existing one), and the lease duration in ms.
+ */
 type CoreOptions = { losses: number; first: boolean; lease: number } & {
   /** Parses an operator's configuration text; without it this replica rejects configuration plans. */
   read?: (text: string) => Result<Routing, Fault[]>;
--- a/packages/router/src/engine.ts
+++ b/packages/router/src/engine.ts
@@ -11,6 +11,7 @@
   ms: number;
   /** Scheduling urgency at the server, from 0 (first) to 9 (last). */
   urgency: number;
+  /** Cancels the request when it is aborted. */
   signal: AbortSignal;
 };
 
@@ -21,7 +22,7 @@
  */
 export type Engine = {
   /** Prefills a prompt and returns a handle to its KV cache; generates nothing. */
-  prefill(server: Server, request: Request, terms: SendOptions): Promise<Result<Handle, SendFault>>;
+  prefill(server: Server, request: Request, options: SendOptions): Promise<Result<Handle, SendFault>>;
   /**
    * Runs a request, either from the KV cache behind `handle`, held by another server, or by prefilling the prompt
    * itself. The stream resumes after the event `lastEventId`, or starts from the beginning if that is null.
@@ -31,13 +32,14 @@
     request: Request,
     handle: Handle | null,
     lastEventId: string | null,
-    terms: SendOptions,
+    options: SendOptions,
     response: Heard,
   ): Promise<Result<void, SendFault>>;
   /** Whether an idle connection to the server is open, so that the next request needs no new one. */
   linked(server: Server): boolean;
   /** Releases KV cache memory that no server will fetch. */
   free(handle: Handle): Promise<void>;
+  /** Asks a server for its current state. */
   report(server: Server, ms: number): Promise<Result<Report, string>>;
   /**
    * Orders a server to change its stage, under a fencing token. Results: `taken`: the order was accepted; `holds`: the
--- a/packages/router/src/job.ts
+++ b/packages/router/src/job.ts
@@ -22,8 +22,9 @@
   due: number;
   /** Whether this is probably the client's first attempt. */
   isFirstTry: boolean;
-  /** Whether servers schedule it ahead of others because it was deferred once. */
+  /** Whether servers schedule it ahead of others because it was probably deferred once. */
   ahead: boolean;
+  /** Sends that count towards the tries and the retry budget; see above. */
   arrivals: number;
   /** Prefills sent so far. */
   reads: number;
--- a/packages/router/src/listduty.ts
+++ b/packages/router/src/listduty.ts
@@ -10,9 +10,11 @@
   purge: Purging;
   /** Fencing token under which this replica has the duty now; null if it does not have the duty. */
   fence: () => number | null;
+  /** Time between two polls of the platform. */
   intervalMs: number;
 };
 type PublishedList = { mark: Mark; requestedAt: number; digest: string; servers: readonly Server[] };
+/** How often it is checked whether a poll is due or the token was lost. */
 const CHECK_INTERVAL_MS = 100;
 
 /**
--- a/packages/router/src/replicahandler.ts
+++ b/packages/router/src/replicahandler.ts
@@ -13,13 +13,17 @@
   /** Version stamp and age of the server list that this replica published under the current view. */
   list: () => { mark: Mark; age: number } | null;
 };
+/** The oldest entries are dropped beyond this many. */
 const MAX_ROUTERS = 20_000;
+/** A router that has not checked in for this long is forgotten. */
 const ROUTER_EXPIRY_MS = 2000;
 /** Peers to which a router sends its loads: all others up to this many, and only a few in a larger fleet. */
 const ALL_PEERS_LIMIT = 16;
+/** Number of peers of a router in a larger fleet. */
 const PEER_COUNT = 6;
 /** Digest that a router sends while it has no peers. */
 const NO_PEERS_DIGEST = Hash.of([]);
+/** Prompt tokens to prefill at prefill servers (`read`) and at decode servers (`beside`), and runs. */
 type Load = { read: number; beside: number; run: number };
 type RouterEntry = { ident: Ident; load: Load; expiresAt: number };
 
--- a/packages/router/src/report.ts
+++ b/packages/router/src/report.ts
@@ -1,5 +1,6 @@
 /**
- * State that a server reported about itself; it may be some hundred ms old. `orders` counts the stage orders it took.
+ * State that a server reported about itself; it may be some hundred ms old. `orders` is the server's own count of stage
+ * orders; `used` and `capacity` are KV cache tokens; `handles` are the prefill handles that it holds.
  */
 export type Report = {
   stage: 'prefill' | 'decode';
--- a/packages/router/src/routetable.ts
+++ b/packages/router/src/routetable.ts
@@ -1,6 +1,7 @@
 import type { Route, Routing, Service } from '@pumicebarrow/forms';
 import { TenantDirectory } from './tenantdirectory.js';
 
+/** A route, and its services that have a positive weight. */
 type RouteMatch = { route: Route; services: readonly { service: Service; weight: number }[] };
 type HostRoutes = readonly { prefix: string; match: RouteMatch }[];
 
@@ -28,6 +29,7 @@
       limits: routing.limits,
       tenants: TenantDirectory.make(routing.tenants),
       services: (): readonly Service[] => routing.services,
+      /** The route with the longest prefix that matches the path; the query is ignored. */
       find(host: string, path: string): RouteMatch | null {
         const pathname = path.split('?', 1)[0]!;
         return routesByHost.get(host)?.find((entry) => pathname.startsWith(entry.prefix))?.match ?? null;
--- a/packages/router/src/runner.ts
+++ b/packages/router/src/runner.ts
@@ -8,6 +8,7 @@
 import type { ServeTools } from './servetools.js';
 import { Urgency } from './urgency.js';
 
+/** How often runs in progress are checked for silence. */
 const SILENCE_CHECK_INTERVAL_MS = 100;
 const SERVER_ERROR_STATUS = 500;
 /**
@@ -94,8 +95,8 @@
       const endRun = deps.loads.run(server.id),
         endRead = deps.loads.read(server.id, tokensToRead);
       const attempt = new AbortController();
-      const onClientGone = (): void => attempt.abort('gone');
-      job.left.signal.addEventListener('abort', onClientGone);
+      const cancelAttempt = (): void => attempt.abort('gone');
+      job.left.signal.addEventListener('abort', cancelAttempt);
       const watcher = watchForSilence(job, server, attempt);
       const concurrentRuns = deps.loads.at(server.id).runs;
       const eventsBefore = job.eventsSent;
@@ -133,7 +134,7 @@
         );
       endRun();
       endRead();
-      job.left.signal.removeEventListener('abort', onClientGone);
+      job.left.signal.removeEventListener('abort', cancelAttempt);
       // A send that never arrived did not fetch the KV cache, so another server still can.
       if (result.err && Blame.neverArrived(result.val)) job.handle = handle;
       return result;
--- a/packages/router/src/servetools.ts
+++ b/packages/router/src/servetools.ts
@@ -28,19 +28,25 @@
   revocation: ReturnType<typeof KeyRevocation.make>;
   /** Time in ms that this daemon has left for a request accepted now. */
   remainingLifetimeMs: () => number;
+  /** The routes in force; null before the first configuration. */
   routes: () => Routes | null;
   serverList: ServerListing;
   loads: ReturnType<typeof ServerLoads.make>;
   loadAggregator: Pick<ReturnType<typeof LoadBroker.make>, 'refresh'>;
   health: ReturnType<typeof ServerHealth.make>;
+  /** Estimates which prompt parts each server has cached. */
   kept: ReturnType<typeof KeptParts.make>;
+  /** Measured prefill rate, in prompt tokens per ms. */
   pace: ReturnType<typeof Pace.make>;
+  /** Measured slowdown of each server against the expected duration. */
   speed: ReturnType<typeof ServerSpeed.make>;
+  /** Measured prefill wait beyond the expected one. */
   wait: ReturnType<typeof ReadWait.make>;
   placement: ReturnType<typeof Placement.make>;
   budgets: ReturnType<typeof Budgets.make>;
   /** Records the steps taken for requests. */
   log: ReturnType<typeof RequestLog.make>;
+  /** One load shedder for each service. */
   shedders: { of(service: string): ReturnType<typeof LoadShedder.make> };
   counters: ReturnType<typeof OutcomeCounters.make>;
   /** Reports that a server failed a request of this daemon. */
--- a/packages/router/src/statusdesk.ts
+++ b/packages/router/src/statusdesk.ts
@@ -19,6 +19,7 @@
   /** Age and freshness of the server list; null if this daemon has none to report. */
   list: () => { age: number; isFresh: boolean } | null;
   msSinceHeadReply: () => number | null;
+  /** Ids of servers under suspicion. */
   suspected: () => readonly string[];
   knownDaemons: () => readonly Ident[];
 };
--- a/packages/router/src/words.ts
+++ b/packages/router/src/words.ts
@@ -19,6 +19,7 @@
       list: NullableMark,
       epoch: Type.Integer(),
       peers: Type.String({ description: 'digest of the peers held, so that they are sent again only after a change' }),
+      /** Prompt tokens to prefill at prefill servers (`read`) and at decode servers (`beside`), and runs. */
       load: Type.Object({ read: Type.Number(), beside: Type.Number(), run: Type.Number() }, strict),
     },
     strict,
