--- a/packages/router/src/leaving.test.ts
+++ b/packages/router/src/leaving.test.ts
@@ -18,7 +18,7 @@
     const source = { poll: () => Promise.resolve(Err('none')) };
     const router = Router.make(testWorld(clock), options, testEngine([], []), source);
     const code = async (): Promise<string | undefined> => {
-      const pending = router.serve(request(clock.mono()), testResponseWriter().sink);
+      const pending = router.serve(request(clock.mono()), testResponseWriter().writer);
       await time.pass(600);
       return (await pending)?.code;
     };
@@ -44,7 +44,7 @@
       ['with less time than the request may take', 7000, 'leaving'],
     ];
     for (const [name, left, code] of cases) {
-      const got = await play({ ...SHORT_PROMPT, left, script: [{ run: 'ok', events: 1 }] });
+      const got = await play({ ...SHORT_PROMPT, remainingLifetimeMs: left, script: [{ run: 'ok', events: 1 }] });
       expect(got.verdict?.code, name).to.equal(code);
       expect(got.calls.length, name).to.equal(code ? 0 : 1);
     }
@@ -63,7 +63,7 @@
       const wait = draw(500, 8000);
       const left = draw(200, 9000);
       const got = await play({
-        ...{ route: { timeout }, left: [Infinity, left], wait },
+        ...{ route: { timeout }, remainingLifetimeMs: [Infinity, left], retryTimeoutMs: wait },
         request: { ...SHORT_PROMPT.request, due: 1000 + wait },
         script: [
           { run: 'ok', events: 1 },
--- a/packages/router/src/play.test.ts
+++ b/packages/router/src/play.test.ts
@@ -37,23 +37,23 @@
   budget?: number;
   tenants?: Tenant[];
   /** Tenants of a second configuration, which takes effect after `ms`. */
-  later?: { ms: number; tenants: Tenant[] };
+  secondTenants?: { ms: number; tenants: Tenant[] };
   /** Tenants of a third configuration, which takes effect `ms` after the second. */
-  again?: { ms: number; tenants: Tenant[] };
+  thirdTenants?: { ms: number; tenants: Tenant[] };
   keysCurrent?: boolean;
   /** Duration in ms of a query for the loads of servers. */
   loadQueryMs?: number;
   unavailable?: Verdict;
   listTooOld?: boolean;
   /** Remaining lifetime of the daemon in ms, for each request in turn; the last value holds for all later ones. */
-  left?: number | readonly number[];
+  remainingLifetimeMs?: number | readonly number[];
   /** Time in ms after which the list is refreshed. */
   listRefreshedAfterMs?: number;
   /** Prompt tokens that other routers have queued at servers. */
   busy?: Readonly<Record<string, number>>;
   /** Client timeout in ms of a retry that follows a first attempt with 8 s. */
-  wait?: number;
-  after?: (t: ReturnType<typeof testClock>, output: ReturnType<typeof testResponseWriter>) => Promise<void>;
+  retryTimeoutMs?: number;
+  duringRequest?: (t: ReturnType<typeof testClock>, output: ReturnType<typeof testResponseWriter>) => Promise<void>;
 };
 const FLEET = [server('p1', 'prefill'), server('d1', 'decode'), server('d2', 'decode')];
 
@@ -89,7 +89,10 @@
     ...routing(scenario.route),
     ...(scenario.tenants ? { tenants: scenario.tenants } : {}),
   });
-  const lifetimes = typeof scenario.left === 'number' ? [scenario.left] : [...(scenario.left ?? [Infinity])];
+  const lifetimes =
+    typeof scenario.remainingLifetimeMs === 'number'
+      ? [scenario.remainingLifetimeMs]
+      : [...(scenario.remainingLifetimeMs ?? [Infinity])];
   const remainingLifetimeMs = (): number => (lifetimes.length > 1 ? lifetimes.shift()! : lifetimes[0]!);
   const placementDependencies = {
     chance: world.chance,
@@ -145,22 +148,23 @@
   loads.heard(
     () => new Map(Object.entries(scenario.busy ?? {}).map(([id, tokens]) => [id, { runs: 0, reads: 1, tokens }])),
   );
-  if (scenario.wait !== undefined) await serve(request(time.clock.mono(), scenario.request), testResponseWriter().sink);
+  if (scenario.retryTimeoutMs !== undefined)
+    await serve(request(time.clock.mono(), scenario.request), testResponseWriter().writer);
   const output = testResponseWriter();
-  const more = scenario.wait === undefined ? {} : { wait: scenario.wait };
-  const done = serve(request(time.clock.mono(), { ...scenario.request, ...more }), output.sink);
+  const more = scenario.retryTimeoutMs === undefined ? {} : { wait: scenario.retryTimeoutMs };
+  const done = serve(request(time.clock.mono(), { ...scenario.request, ...more }), output.writer);
   if (scenario.listRefreshedAfterMs !== undefined) {
     await time.pass(scenario.listRefreshedAfterMs);
     list.take(scenario.servers ?? FLEET, time.clock.mono(), 'shared');
   }
-  for (const next of [scenario.later, scenario.again]) {
+  for (const next of [scenario.secondTenants, scenario.thirdTenants]) {
     if (!next) continue;
     await time.pass(next.ms);
     routes = RouteTable.make({ ...routing(scenario.route), tenants: next.tenants });
     revocation.configurationChanged();
   }
   if (scenario.listTooOld || scenario.unavailable) await time.pass(600);
-  if (scenario.after) await scenario.after(time, output);
+  if (scenario.duringRequest) await scenario.duringRequest(time, output);
   const verdict = await done;
   return {
     calls,
--- a/packages/router/src/serve.test.ts
+++ b/packages/router/src/serve.test.ts
@@ -199,7 +199,7 @@
     expect(first.log).to.deep.equal([]);
     expect(first.verdict).to.include({ code: 'deferred', ran: 'no' });
     expect(first.verdict?.after).to.be.within(0.3, 2.6);
-    const back = await play({ script: [{ read: 'ok' }, { run: 'ok', events: 1 }], busy, wait: 6000 });
+    const back = await play({ script: [{ read: 'ok' }, { run: 'ok', events: 1 }], busy, retryTimeoutMs: 6000 });
     expect(withoutServerNumbers(back.calls)).to.deep.equal(['read p1', 'run d from h1']);
     expect(back.log.at(-1)).to.equal('end');
   });
@@ -211,7 +211,7 @@
         { run: 'ok', events: 1, hang: true },
         { run: 'ok', events: 1 },
       ],
-      after: async (t) => t.pass(2000),
+      duringRequest: async (t) => t.pass(2000),
     });
     expect(withoutServerNumbers(got.calls)).to.deep.equal(['run d', 'run d after 1']);
     expect(got.log.slice(1)).to.deep.equal(['1;', '2;', 'end']);
@@ -223,10 +223,10 @@
       ...SHORT_PROMPT,
       route: { resumable: false },
       script: [{ run: 'ok', events: 1, hang: true }],
-      after: async (t, output) => {
+      duringRequest: async (t, output) => {
         await t.pass(3000);
         expect(output.log).to.deep.equal([output.log[0], '1;']);
-        output.leave();
+        output.disconnect();
       },
     });
     expect(got.calls).to.have.length(1);
@@ -237,9 +237,9 @@
     const got = await play({
       ...SHORT_PROMPT,
       script: [{ run: 'ok', hang: true }],
-      after: async (t, output) => {
+      duringRequest: async (t, output) => {
         await t.settle();
-        output.leave();
+        output.disconnect();
       },
     });
     expect(got.calls).to.have.length(1);
--- a/packages/router/src/stand.test.ts
+++ b/packages/router/src/stand.test.ts
@@ -114,32 +114,34 @@
   return {
     prefill(s, request, terms) {
       asked.push({ request, urgency: terms.urgency });
-      const act = script.shift();
+      const scripted = script.shift();
       calls.push(`read ${s.id}`);
-      if (!act || !('read' in act)) return Promise.resolve(fault('broken', 'maybe'));
+      if (!scripted || !('read' in scripted)) return Promise.resolve(fault('broken', 'maybe'));
       return Promise.resolve(
-        act.read === 'ok' ? Ok({ server: s, id: `h${++handleCount}`, tokens: 1 }) : fault(act.read, act.ran),
+        scripted.read === 'ok'
+          ? Ok({ server: s, id: `h${++handleCount}`, tokens: 1 })
+          : fault(scripted.read, scripted.ran),
       );
     },
     async run(s, request, from, after, terms, response) {
       asked.push({ request, urgency: terms.urgency });
-      const act = script.shift();
+      const scripted = script.shift();
       calls.push(`run ${s.id}${from ? ` from ${from.id}` : ''}${after !== null ? ` after ${after}` : ''}`);
-      if (!act || !('run' in act)) return fault('broken', 'maybe');
-      if (act.events) {
+      if (!scripted || !('run' in scripted)) return fault('broken', 'maybe');
+      if (scripted.events) {
         response.stir();
-        if (!response.head(act.status ?? 200, [['x-seal', s.id]])) return fault('gone', 'maybe');
+        if (!response.head(scripted.status ?? 200, [['x-seal', s.id]])) return fault('gone', 'maybe');
         const first = Number(after ?? 0);
-        for (let i = 1; i <= act.events; i++) response.event(String(first + i), Buffer.from(`${first + i};`));
+        for (let i = 1; i <= scripted.events; i++) response.event(String(first + i), Buffer.from(`${first + i};`));
       }
-      if (act.hang) {
+      if (scripted.hang) {
         return new Promise((done) => {
           terms.signal.addEventListener('abort', () =>
             done(fault(terms.signal.reason === 'gone' ? 'gone' : 'late', 'maybe')),
           );
         });
       }
-      return act.run === 'ok' ? Ok(undefined) : fault(act.run, act.ran);
+      return scripted.run === 'ok' ? Ok(undefined) : fault(scripted.run, scripted.ran);
     },
     linked: () => false,
     free(h) {
@@ -171,9 +173,9 @@
     },
   };
   return {
-    sink: writer,
+    writer: writer,
     log,
-    leave(): void {
+    disconnect(): void {
       disconnected = true;
       disconnect();
     },
--- a/packages/router/src/tenantkeys.test.ts
+++ b/packages/router/src/tenantkeys.test.ts
@@ -80,8 +80,14 @@
   });
   it('is not run if its key is revoked while it waits', async () => {
     const got = await play({
-      ...{ script: [run], loadQueryMs: 50, tenants, request: withKey(MINE), later: { ms: 20, tenants: without } },
-      after: (t) => t.pass(2000),
+      ...{
+        script: [run],
+        loadQueryMs: 50,
+        tenants,
+        request: withKey(MINE),
+        secondTenants: { ms: 20, tenants: without },
+      },
+      duringRequest: (t) => t.pass(2000),
     });
     expect(got.calls).to.deep.equal([]);
     expect([got.verdict?.ran, got.verdict?.code]).to.deep.equal(['no', 'revokedkey']);
@@ -89,8 +95,8 @@
   it('is not sent to a second server after its key was revoked, and is reported as possibly run', async () => {
     const got = await play({
       script: [{ run: 'late', hang: true }, run],
-      ...{ tenants, request: withKey(MINE), later: { ms: 20, tenants: without } },
-      after: (t) => t.pass(2500),
+      ...{ tenants, request: withKey(MINE), secondTenants: { ms: 20, tenants: without } },
+      duringRequest: (t) => t.pass(2500),
     });
     expect(got.calls).to.have.length(1);
     expect([got.verdict?.ran, got.verdict?.code]).to.deep.equal(['maybe', 'broken']);
@@ -100,8 +106,8 @@
     const got = await play({
       script: [{ run: 'ok', events: 1, hang: true }],
       route: { resumable: false },
-      ...{ tenants, request: withKey(MINE), later: { ms: 20, tenants: without } },
-      async after(t, out) {
+      ...{ tenants, request: withKey(MINE), secondTenants: { ms: 20, tenants: without } },
+      async duringRequest(t, out) {
         await t.pass(BOUND - 700);
         before = out.log.at(-1)!;
         await t.pass(700);
@@ -113,11 +119,11 @@
     const got = await play({
       script: [{ run: 'ok', events: 1, hang: true }],
       route: { resumable: false, open: true },
-      ...{ tenants, request: withKey(MINE), later: { ms: 20, tenants: without } },
-      async after(t, out) {
+      ...{ tenants, request: withKey(MINE), secondTenants: { ms: 20, tenants: without } },
+      async duringRequest(t, out) {
         await t.pass(BOUND);
         expect(out.log.at(-1)).to.equal('1;');
-        out.leave();
+        out.disconnect();
       },
     });
     expect(got.log.at(-1)).to.equal('cut');
@@ -126,11 +132,16 @@
     const got = await play({
       script: [{ run: 'ok', events: 1, hang: true }],
       route: { resumable: false },
-      ...{ tenants, request: withKey(MINE), later: { ms: 20, tenants: without }, again: { ms: 1000, tenants } },
-      async after(t, out) {
+      ...{
+        tenants,
+        request: withKey(MINE),
+        secondTenants: { ms: 20, tenants: without },
+        thirdTenants: { ms: 1000, tenants },
+      },
+      async duringRequest(t, out) {
         await t.pass(BOUND);
         expect(out.log.at(-1)).to.equal('1;');
-        out.leave();
+        out.disconnect();
       },
     });
     expect(got.log.at(-1)).to.equal('cut');
