--- a/packages/router/src/controlreplica.ts
+++ b/packages/router/src/controlreplica.ts
@@ -72,9 +72,9 @@
     });
     /** Configured time in ms for which a server of the service is unavailable while it changes its stage. */
     const stageChangeMs = (service: string): number => {
-      const intent = node.core.chain.passed()?.charter?.body;
-      if (!intent || !('services' in intent)) return 0;
-      return intent.services.find((candidate) => candidate.name === service)?.engine?.change ?? 0;
+      const configuration = node.core.chain.passed()?.charter?.body;
+      if (!configuration || !('services' in configuration)) return 0;
+      return configuration.services.find((candidate) => candidate.name === service)?.engine?.change ?? 0;
     };
     const stageBalancer = StageDuty.make({
       ...{
