--- a/packages/router/src/duties.test.ts
+++ b/packages/router/src/duties.test.ts
@@ -4,7 +4,7 @@
 import { expect } from 'chai';
 import { HeadLine } from './headline.js';
 import { ReplicaHandler } from './replicahandler.js';
-import { ListDuty } from './listduty.js';
+import { ServerListPublisher } from './listduty.js';
 import { ListRows } from './listrows.js';
 import { daemon, testTown } from './post.test.js';
 import type { Server } from './server.js';
@@ -12,10 +12,10 @@
 import { SharedSound } from './sharedsound.js';
 import { server, testClock } from './stand.test.js';
 
-describe('the duty of the list', () => {
+describe('publishing of the server list', () => {
   const make = () => {
     const time = testClock();
-    const shelf = Shelf.make(SharedSound.doc);
+    const recordStore = Shelf.make(SharedSound.doc);
     const state = { fence: 3 as number | null, list: [server('a', 'decode')] as Server[] | null, polls: 0 };
     const source = {
       poll: async () => {
@@ -24,22 +24,22 @@
         return state.list ? Ok(state.list) : Err('rate');
       },
     };
-    const purge = { publish: (d: Doc) => shelf.offer(d) } as unknown as Purging;
-    const duty = ListDuty.make({
-      ...{ clock: time.clock, source, purge, every: 1000, fence: () => state.fence },
+    const purge = { publish: (d: Doc) => recordStore.offer(d) } as unknown as Purging;
+    const publisher = ServerListPublisher.make({
+      ...{ clock: time.clock, listSource: source, purge, intervalMs: 1000, fence: () => state.fence },
     });
-    return { time, shelf, state, duty };
+    return { time, shelf: recordStore, state, duty: publisher };
   };
-  it('publishes a list once, and the same one never again', async () => {
+  it('publishes a list once and does not publish an unchanged list again', async () => {
     const { time, shelf, duty } = make();
     await duty.tick();
     expect(shelf.mark('list')).to.deep.equal([3, 0]);
     await time.pass(1000);
     await duty.tick();
     expect(shelf.mark('list')).to.deep.equal([3, 0]);
-    expect(duty.now()).to.deep.equal({ mark: [3, 0], age: 0 });
+    expect(duty.current()).to.deep.equal({ mark: [3, 0], age: 0 });
   });
-  it('publishes a change under a step that rises, and under a new fence anew', async () => {
+  it('publishes a change with a higher step, and publishes again under a new fencing token', async () => {
     const { time, shelf, state, duty } = make();
     await duty.tick();
     state.list = [server('a', 'decode', { state: 'draining' })];
@@ -51,36 +51,36 @@
     await duty.tick();
     expect(shelf.mark('list')).to.deep.equal([5, 0]);
   });
-  it('neither asks nor tells without the fence', async () => {
+  it('neither polls the platform nor reports a list without the fencing token', async () => {
     const { time, state, duty } = make();
     await duty.tick();
     state.fence = null;
     await time.pass(1000);
     await duty.tick();
-    expect([state.polls, duty.now()]).to.deep.equal([1, null]);
+    expect([state.polls, duty.current()]).to.deep.equal([1, null]);
   });
-  it('publishes nothing that came back after the fence was lost', async () => {
+  it('does not publish a poll result that arrives after the fencing token was lost', async () => {
     const { shelf, state, duty } = make();
     const asked = duty.tick();
     state.fence = null;
     await asked;
     expect(shelf.mark('list')).to.equal(null);
   });
-  it('lets the age grow while the platform turns it away', async () => {
+  it('reports a growing list age while the platform rejects its polls', async () => {
     const { time, state, duty } = make();
     await duty.tick();
     state.list = null;
     await time.pass(1000);
     await duty.tick();
-    expect(duty.now()?.age).to.equal(1000);
+    expect(duty.current()?.age).to.equal(1000);
   });
 });
 
-describe("a router's line to the head", () => {
+describe("a router's check-in at the head", () => {
   const view: View = { epoch: 7, voters: [], chain: [{ id: 'k1', born: 'b-k1', addr: '10.0.1.1:2' }] };
   const make = () => {
     const time = testClock(),
-      town = testTown();
+      network = testTown();
     const state = {
       speaks: true,
       list: { mark: [7, 0] as Mark, age: 200 } as { mark: Mark; age: number } | null,
@@ -88,39 +88,39 @@
       held: 1,
       tails: 0,
     };
-    const head = town.post(daemon('k1', 'registry'));
-    const desk = ReplicaHandler.make({
+    const head = network.post(daemon('k1', 'registry'));
+    const checkinHandler = ReplicaHandler.make({
       ...{ clock: time.clock, post: head, view: () => view, speaks: () => state.speaks },
       ...{ version: () => state.version, list: () => state.list },
     });
     const router = (id: string) => {
-      const post = town.post(daemon(id));
-      const shelf = Shelf.make(SharedSound.doc);
+      const post = network.post(daemon(id));
+      const recordStore = Shelf.make(SharedSound.doc);
       const list = ServerList.make(
         time.clock,
         () => 2000,
         () => undefined,
       );
-      const purge = { learn: (d: Doc) => shelf.offer(d) } as unknown as Purging;
+      const purge = { learn: (d: Doc) => recordStore.offer(d) } as unknown as Purging;
       const line = {
         view: () => view,
         learn: () => undefined,
         look: () => Promise.resolve(),
       } as unknown as ControlClient;
-      const made = HeadLine.make({
-        ...{ clock: time.clock, post, line, shelf, purge, list, version: () => state.held },
+      const headCheckin = HeadLine.make({
+        ...{ clock: time.clock, post, line, shelf: recordStore, purge, list, version: () => state.held },
         load: () => ({ read: 10, beside: 0, run: 2 }),
         tail: () => {
           state.tails++;
           return Promise.resolve(true);
         },
       });
-      return { shelf, list, line: made };
+      return { shelf: recordStore, list, line: headCheckin };
     };
     const doc: Doc = { name: 'list', mark: [7, 0], body: ListRows.pack([server('a', 'decode')]) };
-    return { time, town, state, desk, router, doc };
+    return { time, network, state, desk: checkinHandler, router, doc };
   };
-  it('keeps the list as young as the head says, from before it was asked', async () => {
+  it('takes the list age from the head, counted from before the check-in was sent', async () => {
     const { router, doc } = make();
     const r = router('r2');
     r.shelf.offer(doc);
@@ -128,7 +128,7 @@
     expect(r.list.age()).to.equal(200);
     expect(r.list.good('a')?.id).to.equal('a');
   });
-  it('takes no youth from a head that may not speak', async () => {
+  it('does not refresh the list age from a replica that is not the acting head', async () => {
     const { router, doc, state } = make();
     const r = router('r2');
     r.shelf.offer(doc);
@@ -137,21 +137,21 @@
     expect(r.list.young()).to.equal(false);
     expect(r.line.silent()).to.equal(Infinity);
   });
-  it('gives gossip its time, then fetches a newer list from the head', async () => {
-    const { time, town, router, doc } = make();
+  it('fetches a newer list from the head only after gossip had time to deliver it', async () => {
+    const { time, network, router, doc } = make();
     const r = router('r2');
-    town.post(daemon('k9', 'registry'));
+    network.post(daemon('k9', 'registry'));
     await r.line.tick();
     expect(r.list.young()).to.equal(false);
-    expect(town.asked.some((a) => a.includes('purge.pull'))).to.equal(false);
+    expect(network.asked.some((a) => a.includes('purge.pull'))).to.equal(false);
     await time.pass(600);
     await r.line.tick();
-    expect(town.asked.some((a) => a.includes('purge.pull'))).to.equal(true);
+    expect(network.asked.some((a) => a.includes('purge.pull'))).to.equal(true);
     r.shelf.offer(doc);
     await r.line.tick();
     expect(r.list.young()).to.equal(true);
   });
-  it('reads a configuration at the tail that gossip has not brought in time', async () => {
+  it('reads a configuration from the tail if gossip has not delivered it in time', async () => {
     const { time, router, state, doc } = make();
     const r = router('r2');
     r.shelf.offer(doc);
@@ -162,14 +162,14 @@
     await r.line.tick();
     expect(state.tails).to.equal(1);
   });
-  it('reads none at the tail while gossip brings each of many in time', async () => {
+  it('does not read from the tail while gossip delivers each of many versions in time', async () => {
     const { time, router, state, doc } = make();
     const r = router('r2');
     r.shelf.offer(doc);
     for (let i = 0; i < 6; i++) {
       state.version += 3;
       await r.line.tick();
-      // Gossip brings what was the newest then; by the next look there is a newer one.
+      // Gossip delivers the version that was the newest then; by the next check-in there is a newer one.
       state.held = state.version;
       await time.pass(600);
     }
@@ -181,15 +181,15 @@
     await r.line.tick();
     expect(state.tails).to.equal(1);
   });
-  it('counts the routers and names their peers once, until they change', async () => {
-    const { time, town, router, desk, doc } = make();
+  it('counts the routers and sends a router its peers again only after they changed', async () => {
+    const { time, network, router, desk, doc } = make();
     const all = ['r2', 'r3', 'r4'].map(router);
     for (const r of all) r.shelf.offer(doc);
     for (let i = 0; i < 2; i++) for (const r of all) await r.line.tick();
     expect(all.map((r) => r.line.routers())).to.deep.equal([3, 3, 3]);
     expect(all[0]!.line.peers().map((p) => p.id)).to.deep.equal(['r3', 'r4']);
     expect(desk.load()).to.deep.equal({ read: 30, beside: 0, run: 6 });
-    town.down.add('10.0.1.1:2');
+    network.down.add('10.0.1.1:2');
     await time.pass(2100);
     expect(desk.load()).to.deep.equal({ read: 0, beside: 0, run: 0 });
     expect(Hash.of(all[0]!.line.peers())).to.be.a('string');
--- a/packages/router/src/keyrevocation.ts
+++ b/packages/router/src/keyrevocation.ts
@@ -1,38 +1,39 @@
 import type { Clock } from '@pumicebarrow/forms';
 import type { Routes } from './routes.js';
 
-/** ms before the bound at which streams are ended, so that their clients see it within the bound. */
-const MARGIN = 500;
+/** How long before the bound streams are aborted, so that their clients notice it within the bound. */
+const ABORT_MARGIN_MS = 500;
 
 /**
- * Ends what is still under way with a key that was taken away. New requests and further sends are refused as soon as
- * the configuration is here; an answer that has begun may go on until shortly before the bound. Invariant: one whose
- * key is held again by then goes on.
+ * Aborts requests in progress whose API key has been revoked. New requests and further sends are refused as soon as
+ * this daemon has the configuration; a response that has started may continue until shortly before the revocation
+ * bound. Invariant: a request whose key is valid again by then continues.
  */
 export const KeyRevocation = {
-  make(clock: Clock, routes: () => Routes | null, bound: () => number) {
-    const underWay = new Map<string, Set<AbortController>>();
-    const held = (key: string): boolean => {
-      const now = routes();
-      return now === null || !now.tenants.required || now.tenants.holder(key) !== null;
+  make(clock: Clock, routes: () => Routes | null, boundMs: () => number) {
+    const controllersByKey = new Map<string, Set<AbortController>>();
+    const isHeld = (key: string): boolean => {
+      const current = routes();
+      return current === null || !current.tenants.keysRequired || current.tenants.tenantForKey(key) !== null;
     };
-    const end = (key: string): void => {
-      if (held(key)) return;
-      for (const stop of underWay.get(key) ?? []) stop.abort('revoked');
+    const abortIfRevoked = (key: string): void => {
+      if (isHeld(key)) return;
+      for (const controller of controllersByKey.get(key) ?? []) controller.abort('revoked');
     };
     return {
-      /** A request is under way with this key, until the function given back is called. */
-      begin(key: string, stop: AbortController): () => void {
-        const same = underWay.get(key) ?? new Set();
-        underWay.set(key, same.add(stop));
+      /** Tracks a request under this key until the returned function is called. */
+      track(key: string, controller: AbortController): () => void {
+        const controllers = controllersByKey.get(key) ?? new Set();
+        controllersByKey.set(key, controllers.add(controller));
         return () => {
-          same.delete(stop);
-          if (same.size === 0 && underWay.get(key) === same) underWay.delete(key);
+          controllers.delete(controller);
+          if (controllers.size === 0 && controllersByKey.get(key) === controllers) controllersByKey.delete(key);
         };
       },
-      /** Another configuration is in force. */
-      changed(): void {
-        for (const key of underWay.keys()) if (!held(key)) clock.after(Math.max(0, bound() - MARGIN), () => end(key));
+      /** To be called when another configuration has taken effect. */
+      configurationChanged(): void {
+        for (const key of controllersByKey.keys())
+          if (!isHeld(key)) clock.after(Math.max(0, boundMs() - ABORT_MARGIN_MS), () => abortIfRevoked(key));
       },
     };
   },
--- a/packages/router/src/outcomecounters.ts
+++ b/packages/router/src/outcomecounters.ts
@@ -8,9 +8,7 @@
   load_queries: 'questions about the loads of all servers, by outcome',
 };
 
-/**
- * Counts how requests, prefills, runs and questions about loads ended since the start, by outcome: a code of ours.
- */
+/** Counts requests, prefills, decode runs and load queries since the start, by outcome code. */
 export const OutcomeCounters = {
   make() {
     const counts: Record<Kind, Map<string, number>> = {
@@ -23,8 +21,8 @@
       count(kind: Kind, outcome: string): void {
         counts[kind].set(outcome, (counts[kind].get(outcome) ?? 0) + 1);
       },
-      /** Requests by outcome, as of now. */
-      requests: (): ReadonlyMap<string, number> => new Map(counts.requests),
+      /** A snapshot of the number of requests by outcome. */
+      requestsByOutcome: (): ReadonlyMap<string, number> => new Map(counts.requests),
       families: (): MetricFamily[] =>
         (Object.keys(HELP) as Kind[]).map((kind) => ({
           ...{ name: `${kind}_total`, help: HELP[kind], kind: 'counter' as const },
--- a/packages/router/src/play.test.ts
+++ b/packages/router/src/play.test.ts
@@ -10,47 +10,58 @@
 import { ReadWait } from './readwait.js';
 import { RequestLog } from './requestlog.js';
 import { RouteTable } from './routetable.js';
-import { Serve } from './serve.js';
+import { RequestHandler } from './serve.js';
 import type { Server } from './server.js';
 import { ServerHealth } from './serverhealth.js';
 import { ServerList } from './serverlist.js';
 import { ServerLoads } from './serverloads.js';
 import { ServerSpeed } from './serverspeed.js';
-import type { Act, Asked } from './stand.test.js';
-import { prompt, request, routing, server, testClock, testEngine, testSink, testWorld } from './stand.test.js';
+import type { ScriptedResult, SentRequest } from './stand.test.js';
+import {
+  prompt,
+  request,
+  routing,
+  server,
+  testClock,
+  testEngine,
+  testResponseWriter,
+  testWorld,
+} from './stand.test.js';
 
-export type Setting = {
-  script: Act[];
+/** A scripted fleet, and the request that is sent to it. */
+export type Scenario = {
+  script: ScriptedResult[];
   route?: Partial<Routing['routes'][number]>;
   servers?: Server[];
   request?: Partial<Request>;
   budget?: number;
   tenants?: Tenant[];
-  /** The tenants of another configuration, in force after so many ms. */
-  later?: { ms: number; tenants: Tenant[] };
-  /** And of one more, so many ms after that. */
-  again?: { ms: number; tenants: Tenant[] };
-  keysKnown?: boolean;
-  /** ms that a question about the loads of servers takes. */
-  asking?: number;
-  shut?: Verdict;
-  old?: boolean;
-  /** ms that the daemon still has, for each request in turn; the last stands for all later ones. */
-  left?: number | readonly number[];
-  /** ms after which the list is young again. */
-  renewed?: number;
-  /** Prompt tokens that others read at servers. */
+  /** Tenants of a second configuration, which takes effect after `ms`. */
+  secondTenants?: { ms: number; tenants: Tenant[] };
+  /** Tenants of a third configuration, which takes effect `ms` after the second. */
+  thirdTenants?: { ms: number; tenants: Tenant[] };
+  keysCurrent?: boolean;
+  /** Duration in ms of a query for the loads of servers. */
+  loadQueryMs?: number;
+  unavailable?: Verdict;
+  listTooOld?: boolean;
+  /** Remaining lifetime of the daemon in ms, for each request in turn; the last value holds for all later ones. */
+  remainingLifetimeMs?: number | readonly number[];
+  /** Time in ms after which the list is refreshed. */
+  listRefreshedAfterMs?: number;
+  /** Prompt tokens that other routers have queued at servers. */
   busy?: Readonly<Record<string, number>>;
-  /** ms that the client waits, after an earlier try of 8 s. */
-  wait?: number;
-  after?: (t: ReturnType<typeof testClock>, sink: ReturnType<typeof testSink>) => Promise<void>;
+  /** Client timeout in ms of a retry that follows a first attempt with 8 s. */
+  retryTimeoutMs?: number;
+  duringRequest?: (t: ReturnType<typeof testClock>, output: ReturnType<typeof testResponseWriter>) => Promise<void>;
 };
 const FLEET = [server('p1', 'prefill'), server('d1', 'decode'), server('d2', 'decode')];
 
-export const play = async (s: Setting) => {
+/** Runs one scenario and returns what happened. */
+export const play = async (scenario: Scenario) => {
   const time = testClock(),
     calls: string[] = [],
-    asked: Asked[] = [],
+    asked: SentRequest[] = [],
     suspected: string[] = [],
     turned: string[] = [];
   const world = testWorld(time.clock);
@@ -59,34 +70,40 @@
     () => 2000,
     () => undefined,
   );
-  list.take(s.servers ?? FLEET, time.clock.mono(), 'shared');
-  if (s.old) await time.pass(2001);
+  list.take(scenario.servers ?? FLEET, time.clock.mono(), 'shared');
+  if (scenario.listTooOld) await time.pass(2001);
   const loads = ServerLoads.make(),
     health = ServerHealth.make(time.clock),
-    kept = KeptParts.make(() => 400_000),
-    pace = Pace.make(),
-    speed = ServerSpeed.make(time.clock),
-    wait = ReadWait.make(time.clock, () => true);
+    prefixCache = KeptParts.make(() => 400_000),
+    prefillRate = Pace.make(),
+    slowdown = ServerSpeed.make(time.clock),
+    prefillWait = ReadWait.make(time.clock, () => true);
   const terms = { ratio: 0.2, window: 10_000, slack: 0 };
   const budget = Budget.make(
     time.clock,
     () => terms,
     () => 1,
   );
-  for (let i = 0; i < (s.budget ?? 20); i++) budget.request();
-  let routes = RouteTable.make({ ...routing(s.route), ...(s.tenants ? { tenants: s.tenants } : {}) });
-  const lefts = typeof s.left === 'number' ? [s.left] : [...(s.left ?? [Infinity])];
-  const left = (): number => (lefts.length > 1 ? lefts.shift()! : lefts[0]!);
-  const tools = {
+  for (let i = 0; i < (scenario.budget ?? 20); i++) budget.request();
+  let routes = RouteTable.make({
+    ...routing(scenario.route),
+    ...(scenario.tenants ? { tenants: scenario.tenants } : {}),
+  });
+  const lifetimes =
+    typeof scenario.remainingLifetimeMs === 'number'
+      ? [scenario.remainingLifetimeMs]
+      : [...(scenario.remainingLifetimeMs ?? [Infinity])];
+  const remainingLifetimeMs = (): number => (lifetimes.length > 1 ? lifetimes.shift()! : lifetimes[0]!);
+  const placementDependencies = {
     chance: world.chance,
     zone: 'z1',
     list,
     loads,
     health,
-    kept,
-    pace: pace.now,
-    speed: speed.of,
-    wait: wait.now,
+    kept: prefixCache,
+    pace: prefillRate.now,
+    speed: slowdown.of,
+    wait: prefillWait.now,
     changing: () => () => false,
     linked: () => false,
   };
@@ -95,60 +112,66 @@
     () => routes,
     () => 5000,
   );
-  const steps = RequestLog.make(time.clock),
+  const requestLog = RequestLog.make(time.clock),
     shedder = LoadShedder.make(time.clock, world.chance);
-  const serve = Serve.make({
-    log: steps,
+  const serve = RequestHandler.make({
+    log: requestLog,
     counters: OutcomeCounters.make(),
     shedders: { of: () => shedder },
-    broker: { refresh: () => (s.asking === undefined ? Promise.resolve() : Timer.nap(time.clock, s.asking)) },
+    loadAggregator: {
+      refresh: () =>
+        scenario.loadQueryMs === undefined ? Promise.resolve() : Timer.nap(time.clock, scenario.loadQueryMs),
+    },
     ...{
       world,
-      list,
+      serverList: list,
       loads,
       health,
-      kept,
-      pace,
-      speed,
-      wait,
+      kept: prefixCache,
+      pace: prefillRate,
+      speed: slowdown,
+      wait: prefillWait,
       budgets: { of: () => budget },
-      engine: testEngine(s.script, calls, asked),
+      engine: testEngine(scenario.script, calls, asked),
     },
     ...{
-      shut: () => s.shut ?? null,
-      left,
-      keysKnown: () => s.keysKnown ?? true,
+      unavailable: () => scenario.unavailable ?? null,
+      remainingLifetimeMs,
+      keysCurrent: () => scenario.keysCurrent ?? true,
       revocation,
       routes: () => routes,
-      placement: Placement.make(tools),
+      placement: Placement.make(placementDependencies),
     },
     turned: (x) => void (health.turned(x.id) && turned.push(x.id)),
     suspect: (x) => void (health.bad(x.id) && suspected.push(x.id)),
   });
-  loads.heard(() => new Map(Object.entries(s.busy ?? {}).map(([id, tokens]) => [id, { runs: 0, reads: 1, tokens }])));
-  if (s.wait !== undefined) await serve(request(time.clock.mono(), s.request), testSink().sink);
-  const out = testSink();
-  const more = s.wait === undefined ? {} : { wait: s.wait };
-  const done = serve(request(time.clock.mono(), { ...s.request, ...more }), out.sink);
-  if (s.renewed !== undefined) {
-    await time.pass(s.renewed);
-    list.take(s.servers ?? FLEET, time.clock.mono(), 'shared');
+  loads.heard(
+    () => new Map(Object.entries(scenario.busy ?? {}).map(([id, tokens]) => [id, { runs: 0, reads: 1, tokens }])),
+  );
+  if (scenario.retryTimeoutMs !== undefined)
+    await serve(request(time.clock.mono(), scenario.request), testResponseWriter().writer);
+  const output = testResponseWriter();
+  const more = scenario.retryTimeoutMs === undefined ? {} : { wait: scenario.retryTimeoutMs };
+  const done = serve(request(time.clock.mono(), { ...scenario.request, ...more }), output.writer);
+  if (scenario.listRefreshedAfterMs !== undefined) {
+    await time.pass(scenario.listRefreshedAfterMs);
+    list.take(scenario.servers ?? FLEET, time.clock.mono(), 'shared');
   }
-  for (const next of [s.later, s.again]) {
+  for (const next of [scenario.secondTenants, scenario.thirdTenants]) {
     if (!next) continue;
     await time.pass(next.ms);
-    routes = RouteTable.make({ ...routing(s.route), tenants: next.tenants });
-    revocation.changed();
+    routes = RouteTable.make({ ...routing(scenario.route), tenants: next.tenants });
+    revocation.configurationChanged();
   }
-  if (s.old || s.shut) await time.pass(600);
-  if (s.after) await s.after(time, out);
+  if (scenario.listTooOld || scenario.unavailable) await time.pass(600);
+  if (scenario.duringRequest) await scenario.duringRequest(time, output);
   const verdict = await done;
   return {
     calls,
     asked: asked.map((a) => a.request),
     urgencies: asked.map((a) => a.urgency),
-    steps: steps.of('q1'),
-    log: out.log,
+    steps: requestLog.stepsOf('q1'),
+    log: output.log,
     verdict,
     suspected,
     turned,
@@ -156,5 +179,7 @@
     level: budget.level(),
   };
 };
-export const DIRECT = { request: { prompt: prompt(200, 200) } };
-export const d = (calls: string[]): string[] => calls.map((c) => c.replace(/ d\d/, ' d'));
+/** A request whose prompt is short enough to be prefilled by the decode server. */
+export const SHORT_PROMPT = { request: { prompt: prompt(200, 200) } };
+/** Calls without the numbers of the decode servers, which are chosen at random. */
+export const withoutServerNumbers = (calls: string[]): string[] => calls.map((c) => c.replace(/ d\d/, ' d'));
--- a/packages/router/src/routetable.ts
+++ b/packages/router/src/routetable.ts
@@ -1,43 +1,48 @@
 import type { Route, Routing, Service } from '@pumicebarrow/forms';
 import { TenantDirectory } from './tenantdirectory.js';
 
-type Found = { route: Route; services: readonly { service: Service; weight: number }[] };
-type Host = readonly { prefix: string; found: Found }[];
+/** A route, and its services that have a positive weight. */
+type RouteMatch = { route: Route; services: readonly { service: Service; weight: number }[] };
+type HostRoutes = readonly { prefix: string; match: RouteMatch }[];
 
-/** One routing, made ready for look-ups. Invariant: the prefixes of a host stand longest first, so the first wins. */
+/**
+ * Routing table of one configuration. Invariant: the prefixes of a host are sorted longest first, so that the first
+ * match is the most specific one.
+ */
 export const RouteTable = {
   make(routing: Routing) {
-    const services = new Map(routing.services.map((s) => [s.name, s]));
-    const hosts = new Map<string, { prefix: string; found: Found }[]>();
+    const services = new Map(routing.services.map((service) => [service.name, service]));
+    const hosts = new Map<string, { prefix: string; match: RouteMatch }[]>();
     for (const route of routing.routes) {
-      const list = route.split.flatMap((s) => {
-        const service = services.get(s.service);
-        return service && s.weight > 0 ? [{ service, weight: s.weight }] : [];
+      const weightedServices = route.split.flatMap((share) => {
+        const service = services.get(share.service);
+        return service && share.weight > 0 ? [{ service, weight: share.weight }] : [];
       });
-      const host = hosts.get(route.host) ?? [];
-      host.push({ prefix: route.prefix, found: { route, services: list } });
-      hosts.set(route.host, host);
+      const entries = hosts.get(route.host) ?? [];
+      entries.push({ prefix: route.prefix, match: { route, services: weightedServices } });
+      hosts.set(route.host, entries);
     }
-    for (const host of hosts.values()) host.sort((a, b) => b.prefix.length - a.prefix.length);
-    const table: ReadonlyMap<string, Host> = hosts;
+    for (const entries of hosts.values()) entries.sort((a, b) => b.prefix.length - a.prefix.length);
+    const routesByHost: ReadonlyMap<string, HostRoutes> = hosts;
     return {
       revision: routing.revision,
       limits: routing.limits,
       tenants: TenantDirectory.make(routing.tenants),
       services: (): readonly Service[] => routing.services,
-      find(host: string, path: string): Found | null {
-        const plain = path.split('?', 1)[0]!;
-        return table.get(host)?.find((p) => plain.startsWith(p.prefix))?.found ?? null;
+      /** The route with the longest prefix that matches the path; the query is ignored. */
+      find(host: string, path: string): RouteMatch | null {
+        const pathname = path.split('?', 1)[0]!;
+        return routesByHost.get(host)?.find((entry) => pathname.startsWith(entry.prefix))?.match ?? null;
       },
-      /** The service that a request goes to, by a number from 0 up to 1. */
-      pick(found: Found, chance: number): Service | null {
-        const sum = found.services.reduce((n, s) => n + s.weight, 0);
-        let left = chance * sum;
-        for (const s of found.services) {
-          left -= s.weight;
-          if (left < 0) return s.service;
+      /** Chooses one of the services of a route by their weights, given a random number in [0, 1). */
+      pickService(match: RouteMatch, random: number): Service | null {
+        const totalWeight = match.services.reduce((sum, candidate) => sum + candidate.weight, 0);
+        let remaining = random * totalWeight;
+        for (const candidate of match.services) {
+          remaining -= candidate.weight;
+          if (remaining < 0) return candidate.service;
         }
-        return found.services.at(-1)?.service ?? null;
+        return match.services.at(-1)?.service ?? null;
       },
     };
   },
--- a/packages/router/src/runner.ts
+++ b/packages/router/src/runner.ts
@@ -8,153 +8,189 @@
 import type { ServeTools } from './servetools.js';
 import { Urgency } from './urgency.js';
 
-const LOOK = 100;
-const FAILED = 500;
-/** What clients take for the promise that a request has not run: unless the server's words say so, it may have. */
-const PROMISES: ReadonlySet<number> = new Set([408, 429, 503]);
-/** ms without a byte from a server, while one is due, after which it is under suspicion. */
-const SILENT = 900;
-/** ms after which a request that may run again goes elsewhere: before its first event, and between events. */
-const FIRST = 2200;
-/** Runs at a server from which on it has much to do. */
-const BUSY = 8;
-const NEXT = 1300;
-/** ms between events of an idle server, and what each run beside adds. */
-const GAP = 35;
-const EACH = 1.6;
-const ENOUGH = 3;
+/** How often runs in progress are checked for silence. */
+const SILENCE_CHECK_INTERVAL_MS = 100;
+const SERVER_ERROR_STATUS = 500;
+/**
+ * Statuses that clients take as a promise that the request did not run. A status alone proves nothing: unless the
+ * server says explicitly that it did not run the request, it may have.
+ */
+const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 429, 503]);
+/** A server that owes a response and sends no byte for this long is suspected. */
+const SILENCE_LIMIT_MS = 900;
+/** A request that may run again is moved to another server if its first event takes longer than this. */
+const FIRST_EVENT_TIMEOUT_MS = 2200;
+/** From this many runs on a server counts as busy. */
+const BUSY_RUNS = 8;
+/** Like FIRST_EVENT_TIMEOUT_MS, for the time between two events. */
+const NEXT_EVENT_TIMEOUT_MS = 1300;
+/** Expected time between two events at an idle server, and what each concurrent run adds to it. */
+const IDLE_EVENT_GAP_MS = 35;
+const EVENT_GAP_PER_RUN_MS = 1.6;
+/** A run counts towards the measured speed of its server only if it had more events than this. */
+const MIN_EVENTS_FOR_SPEED = 3;
 
 /**
- * A request is run by a server. Invariants: the list is looked at in the turn of the send; bytes go out only as whole
- * events, in the server's order; a second run goes on after the last event that went out, under the first head; a
- * status that promises what the server did not say of a request that may not run twice is never passed on.
+ * Runs a request on a decode server. Invariants: the server list is consulted in the same turn of the event loop as the
+ * send; bytes go to the client only as whole events, in the server's order; a second run resumes after the last event
+ * sent, under the original response head; for a request that must not run twice, a status that clients take as a
+ * promise that it did not run is never passed on unless the server said so.
  */
-export const Runner = {
-  make(t: ServeTools) {
-    const now = (): number => t.world.clock.mono();
-    const watch = Rounds.make(t.world.clock, LOOK);
-    /** Whether another server may take it up once this one may have run it. */
-    const again = (job: Job): boolean =>
-      (job.route.resumable && job.route.kind === 'stream') || (job.route.kind === 'idempotent' && !job.begun);
-    /** Looks after a run: suspects a server that is silent, and gives up waiting where it may go on elsewhere. */
-    const guard = (job: Job, s: Server, stop: AbortController) => {
-      let last = now();
-      let told = false;
-      const stopped = watch(() => {
-        const quiet = now() - last;
-        if (quiet > SILENT && t.health.silent(s.id) > SILENT && !told) {
-          told = true;
-          t.suspect(s, `silent for ${Math.round(quiet)} ms`);
+export const DecodeRunner = {
+  make(deps: ServeTools) {
+    const now = (): number => deps.world.clock.mono();
+    const checkPeriodically = Rounds.make(deps.world.clock, SILENCE_CHECK_INTERVAL_MS);
+    /** Whether another server may run the request although this one may have run it. */
+    const mayRunAgain = (job: Job): boolean =>
+      (job.route.resumable && job.route.kind === 'stream') || (job.route.kind === 'idempotent' && !job.responseStarted);
+    /** Watches a run: suspects a silent server, and aborts the attempt if the request may continue elsewhere. */
+    const watchForSilence = (job: Job, server: Server, attempt: AbortController) => {
+      let lastActivityAt = now();
+      let suspicionReported = false;
+      const stopWatching = checkPeriodically(() => {
+        const silentMs = now() - lastActivityAt;
+        if (silentMs > SILENCE_LIMIT_MS && deps.health.silent(server.id) > SILENCE_LIMIT_MS && !suspicionReported) {
+          suspicionReported = true;
+          deps.suspect(server, `silent for ${Math.round(silentMs)} ms`);
         }
-        const most = job.events > 0 ? NEXT : FIRST;
-        // A server with much to do may be late with one; one with little to do, or wholly silent, has lost it.
-        const lost = t.health.silent(s.id) > SILENT || t.loads.at(s.id).runs < BUSY;
-        if (again(job) && quiet > most && lost && job.arrivals < job.route.tries) stop.abort('late');
+        const timeoutMs = job.eventsSent > 0 ? NEXT_EVENT_TIMEOUT_MS : FIRST_EVENT_TIMEOUT_MS;
+        // A busy server may just be late with one request; an idle or entirely silent one has lost it.
+        const requestLost =
+          deps.health.silent(server.id) > SILENCE_LIMIT_MS || deps.loads.at(server.id).runs < BUSY_RUNS;
+        if (mayRunAgain(job) && silentMs > timeoutMs && requestLost && job.arrivals < job.route.tries)
+          attempt.abort('late');
       });
       return {
-        stir(): void {
-          last = now();
-          told = false;
-          t.health.stir(s.id);
+        recordActivity(): void {
+          lastActivityAt = now();
+          suspicionReported = false;
+          deps.health.stir(server.id);
         },
-        stop: stopped,
+        stop: stopWatching,
       };
     };
-    const hearer = (job: Job, s: Server, stir: () => void, read: () => void): Heard => ({
-      stir,
+    const responseHandler = (job: Job, server: Server, recordActivity: () => void, endRead: () => void): Heard => ({
+      stir: recordActivity,
       head(status, headers) {
-        // A failure that the server tells of is an answer, but one that may run again goes elsewhere before it is told.
-        if (status >= FAILED && again(job) && job.arrivals < job.route.tries) return false;
-        if (PROMISES.has(status) && !again(job)) return false;
-        if (job.begun) return status === job.status;
-        job.begun = true;
+        // A server error is a response, but a request that may run again is tried elsewhere before it is passed on.
+        if (status >= SERVER_ERROR_STATUS && mayRunAgain(job) && job.arrivals < job.route.tries) return false;
+        if (NOT_RUN_STATUSES.has(status) && !mayRunAgain(job)) return false;
+        if (job.responseStarted) return status === job.status;
+        job.responseStarted = true;
         job.status = status;
-        job.sink.head(status, headers);
+        job.writer.head(status, headers);
         return true;
       },
       event(id, bytes) {
-        read();
-        if (id !== null) job.after = id;
-        if (job.events === 0) t.log.note(job.request.id, 'first', { at: s.id });
-        job.events++;
-        return job.sink.bytes(bytes);
+        endRead();
+        if (id !== null) job.lastEventId = id;
+        if (job.eventsSent === 0) deps.log.note(job.request.id, 'first', { at: server.id });
+        job.eventsSent++;
+        return job.writer.bytes(bytes);
       },
     });
-    const send = async (job: Job, s: Server): Promise<Result<void, SendFault>> => {
-      const p = job.request.prompt;
-      const fresh = p && !job.handle ? t.placement.fresh(s, p) : 0;
-      const free = t.loads.run(s.id),
-        read = t.loads.read(s.id, fresh);
-      const stop = new AbortController();
-      const gone = (): void => stop.abort('gone');
-      job.left.signal.addEventListener('abort', gone);
-      const kept = guard(job, s, stop);
-      const beside = t.loads.at(s.id).runs;
-      const before = job.events;
-      const from = now();
+    const send = async (job: Job, server: Server): Promise<Result<void, SendFault>> => {
+      const prompt = job.request.prompt;
+      const tokensToRead = prompt && !job.handle ? deps.placement.fresh(server, prompt) : 0;
+      const endRun = deps.loads.run(server.id),
+        endRead = deps.loads.read(server.id, tokensToRead);
+      const attempt = new AbortController();
+      const cancelAttempt = (): void => attempt.abort('gone');
+      job.left.signal.addEventListener('abort', cancelAttempt);
+      const watcher = watchForSilence(job, server, attempt);
+      const concurrentRuns = deps.loads.at(server.id).runs;
+      const eventsBefore = job.eventsSent;
+      const startedAt = now();
       const handle = job.handle;
-      t.log.note(job.request.id, 'run', { at: s.id, word: handle?.server.id ?? '', tokens: fresh, ahead: beside - 1 });
+      deps.log.note(job.request.id, 'run', {
+        at: server.id,
+        word: handle?.server.id ?? '',
+        tokens: tokensToRead,
+        ahead: concurrentRuns - 1,
+      });
       job.handle = null;
-      const ms = Math.max(1, job.due - now());
-      const terms = {
-        ms,
-        urgency: Urgency.of({ aim: job.route.aim, rank: job.rank }, fresh / t.pace.now(), job.ahead),
-        signal: stop.signal,
+      const timeoutMs = Math.max(1, job.due - now());
+      const options = {
+        ms: timeoutMs,
+        urgency: Urgency.of({ aim: job.route.aim, rank: job.rank }, tokensToRead / deps.pace.now(), job.ahead),
+        signal: attempt.signal,
       };
-      const got = await t.engine.run(s, job.request, handle, job.after, terms, hearer(job, s, kept.stir, read));
-      kept.stop();
-      t.counters.count('runs', got.ok ? 'ok' : got.val.code);
-      const more = job.events - before;
-      if (more > ENOUGH) t.speed.note(s.id, (now() - from) / more, GAP + beside * EACH);
-      free();
-      read();
-      job.left.signal.removeEventListener('abort', gone);
-      // A send that never arrived has taken nothing: the memory may still be fetched by another.
-      if (got.err && Blame.unmet(got.val)) job.handle = handle;
-      return got;
+      const result = await deps.engine.run(
+        server,
+        job.request,
+        handle,
+        job.lastEventId,
+        options,
+        responseHandler(job, server, watcher.recordActivity, endRead),
+      );
+      watcher.stop();
+      deps.counters.count('runs', result.ok ? 'ok' : result.val.code);
+      const newEvents = job.eventsSent - eventsBefore;
+      if (newEvents > MIN_EVENTS_FOR_SPEED)
+        deps.speed.note(
+          server.id,
+          (now() - startedAt) / newEvents,
+          IDLE_EVENT_GAP_MS + concurrentRuns * EVENT_GAP_PER_RUN_MS,
+        );
+      endRun();
+      endRead();
+      job.left.signal.removeEventListener('abort', cancelAttempt);
+      // A send that never arrived did not fetch the KV cache, so another server still can.
+      if (result.err && Blame.neverArrived(result.val)) job.handle = handle;
+      return result;
     };
-    /** A handle that can't be had and a server that is full are told alike: the one that gave the handle is asked. */
-    const turned = (s: Server, f: SendFault, giver: Server | null): void => {
-      if (!giver || f.code !== 'refused') t.turned(s);
-      else if (t.health.lapse(giver.id)) t.suspect(giver, 'its handles lapse');
+    /**
+     * A server gives the same answer when it is full and when it could not fetch the handle. Where a handle was sent,
+     * the rejection is therefore counted against the server that holds it.
+     */
+    const handleRejection = (server: Server, fault: SendFault, handleOwner: Server | null): void => {
+      if (!handleOwner || fault.code !== 'refused') deps.turned(server);
+      else if (deps.health.lapse(handleOwner.id)) deps.suspect(handleOwner, 'its handles could not be fetched');
     };
-    const judge = (job: Job, s: Server, from: number, giver: Server | null, got: Result<void, SendFault>): boolean => {
-      if (got.ok) {
-        if (giver) t.health.fetched(giver.id);
-        if (job.request.prompt) t.kept.note(s.id, job.request.prompt);
+    const evaluateResult = (
+      job: Job,
+      server: Server,
+      startedAt: number,
+      handleOwner: Server | null,
+      result: Result<void, SendFault>,
+    ): boolean => {
+      if (result.ok) {
+        if (handleOwner) deps.health.fetched(handleOwner.id);
+        if (job.request.prompt) deps.kept.note(server.id, job.request.prompt);
         job.fault = null;
-        if (job.status >= FAILED) t.suspect(s, `answered ${job.status}`);
-        else t.health.good(s.id, from);
+        if (job.status >= SERVER_ERROR_STATUS) deps.suspect(server, `answered ${job.status}`);
+        else deps.health.good(server.id, startedAt);
         return true;
       }
-      const f = got.val;
-      job.fault = f;
-      t.log.note(job.request.id, 'failed', { at: s.id, word: f.code, why: f.why });
-      job.avoid.add(s.id);
-      if (f.code === 'gone' && job.left.signal.aborted) {
-        // The client may still be there: its key was taken away.
-        job.maybe ||= f.ran !== 'no';
+      const fault = result.val;
+      job.fault = fault;
+      deps.log.note(job.request.id, 'failed', { at: server.id, word: fault.code, why: fault.why });
+      job.avoid.add(server.id);
+      if (fault.code === 'gone' && job.left.signal.aborted) {
+        // The client may still be connected if the cause is that its key was revoked.
+        job.mayHaveRun ||= fault.ran !== 'no';
         return true;
       }
-      if (Blame.unmet(f)) job.arrivals--;
-      if (Blame.turned(f)) turned(s, f, giver);
-      if (f.code === 'gone' || Blame.falls(f, t.health.silent(s.id), SILENT)) t.suspect(s, f.why);
-      if (f.ran === 'no') return false;
-      job.maybe = true;
-      return !again(job);
+      if (Blame.neverArrived(fault)) job.arrivals--;
+      if (Blame.turned(fault)) handleRejection(server, fault, handleOwner);
+      if (fault.code === 'gone' || Blame.falls(fault, deps.health.silent(server.id), SILENCE_LIMIT_MS))
+        deps.suspect(server, fault.why);
+      if (fault.ran === 'no') return false;
+      job.mayHaveRun = true;
+      return !mayRunAgain(job);
     };
-    /** Gives true once the job is over: whole, cut, or without a way on. */
+    /** Sends the request once; returns true when it is finished: complete, aborted, or out of options. */
     return async (job: Job): Promise<boolean> => {
-      const s = t.placement.decode(job.service, job.request.prompt, job.handle?.server ?? null, job.avoid);
-      if (!s) return true;
-      if (job.arrivals > 0 && !t.budgets.of(job.service.name).take()) return true;
+      const server = deps.placement.decode(job.service, job.request.prompt, job.handle?.server ?? null, job.avoid);
+      if (!server) return true;
+      if (job.arrivals > 0 && !deps.budgets.of(job.service.name).take()) return true;
       job.arrivals++;
-      const from = now();
-      const giver = job.handle?.server ?? null;
-      const over = t.health.begin(s.id);
-      const ended = judge(job, s, from, giver, await send(job, s));
-      over();
-      return ended;
+      const startedAt = now();
+      const handleOwner = job.handle?.server ?? null;
+      const endHealthTrial = deps.health.begin(server.id);
+      const finished = evaluateResult(job, server, startedAt, handleOwner, await send(job, server));
+      endHealthTrial();
+      return finished;
     };
   },
 };
--- a/packages/router/src/servetools.ts
+++ b/packages/router/src/servetools.ts
@@ -17,34 +17,40 @@
 import type { ServerLoads } from './serverloads.js';
 import type { ServerSpeed } from './serverspeed.js';
 
-/** What the serving of requests works with. */
+/** What request handling depends on. */
 export type ServeTools = {
   world: World;
   engine: Engine;
-  /** Null while requests may be served; else why not. */
-  shut: () => Verdict | null;
-  /** Whether what this daemon knows of keys may still be gone by. */
-  keysKnown: () => boolean;
+  /** Null while requests may be served; otherwise the verdict that explains why not. */
+  unavailable: () => Verdict | null;
+  /** Whether this daemon's knowledge of API keys is recent enough to rely on. */
+  keysCurrent: () => boolean;
   revocation: ReturnType<typeof KeyRevocation.make>;
-  /** ms that this daemon still has for a request taken now. */
-  left: () => number;
+  /** Time in ms that this daemon has left for a request accepted now. */
+  remainingLifetimeMs: () => number;
+  /** The routes in force; null before the first configuration. */
   routes: () => Routes | null;
-  list: ServerListing;
+  serverList: ServerListing;
   loads: ReturnType<typeof ServerLoads.make>;
-  broker: Pick<ReturnType<typeof LoadBroker.make>, 'refresh'>;
+  loadAggregator: Pick<ReturnType<typeof LoadBroker.make>, 'refresh'>;
   health: ReturnType<typeof ServerHealth.make>;
+  /** Estimates which prompt parts each server has cached. */
   kept: ReturnType<typeof KeptParts.make>;
+  /** Measured prefill rate, in prompt tokens per ms. */
   pace: ReturnType<typeof Pace.make>;
+  /** Measured slowdown of each server against the expected duration. */
   speed: ReturnType<typeof ServerSpeed.make>;
+  /** Measured prefill wait beyond the expected one. */
   wait: ReturnType<typeof ReadWait.make>;
   placement: ReturnType<typeof Placement.make>;
   budgets: ReturnType<typeof Budgets.make>;
-  /** What was done with requests, step by step. */
+  /** Records the steps taken for requests. */
   log: ReturnType<typeof RequestLog.make>;
+  /** One load shedder for each service. */
   shedders: { of(service: string): ReturnType<typeof LoadShedder.make> };
   counters: ReturnType<typeof OutcomeCounters.make>;
-  /** This daemon saw a server fail. */
-  suspect: (s: Server, why: string) => void;
-  /** A server turned a request of this daemon away. */
-  turned: (s: Server) => void;
+  /** Reports that a server failed a request of this daemon. */
+  suspect: (server: Server, why: string) => void;
+  /** Reports that a server rejected a request of this daemon. */
+  turned: (server: Server) => void;
 };
--- a/packages/router/src/stand.test.ts
+++ b/packages/router/src/stand.test.ts
@@ -7,7 +7,7 @@
 import type { SendFault } from './sendfault.js';
 import type { Server } from './server.js';
 
-/** A clock that moves only when told, and lets every promise settle between two timers. */
+/** A manual clock: it moves only when it is advanced, and lets all promises settle between two timers. */
 export const testClock = () => {
   let now = 1000;
   let timers: { at: number; fn: () => void }[] = [];
@@ -42,6 +42,7 @@
   };
 };
 
+/** World without network or disk. */
 export const testWorld = (clock: Clock, seed = 1): World => ({
   clock,
   chance: Dice.seeded(seed),
@@ -51,11 +52,13 @@
   tell: () => undefined,
 });
 
+/** A ready model server of service `llm`. */
 export const server = (id: string, stage: Server['stage'], more: Partial<Server> = {}): Server => ({
   ...{ id, service: 'llm', addr: `10.0.0.${id.length}:80`, zone: 'z1', state: 'ready', stage, slots: 64, warm: 0 },
   ...more,
 });
 
+/** A prompt with `shared` tokens in two parts that others share, and `own` tokens of its own. */
 export const prompt = (own: number, shared = 5000): Prompt => ({
   ...{ model: 'm', tokens: own + shared, most: 100 },
   parts: [
@@ -65,6 +68,7 @@
   ],
 });
 
+/** A configuration with one route and one service. */
 export const routing = (more: Partial<Routing['routes'][number]> = {}): Routing => ({
   revision: 1,
   routes: [
@@ -84,53 +88,60 @@
   source: {},
 });
 
+/** A client request that waits for 8 s from `now`. */
 export const request = (now: number, more: Partial<Request> = {}): Request => ({
   ...{ id: 'q1', method: 'POST', host: 'h.example', path: '/p/x', headers: [], body: new Uint8Array() },
   ...{ due: now + 8000, wait: 8000, after: null, prompt: prompt(6000), key: null, tenant: null },
   ...more,
 });
 
-/** What a scripted engine does at the next call: give a handle, give events and an end, or fail after some. */
-export type Act =
+/**
+ * Result of the next call of the scripted client: a prefill (`read`) that returns a handle or fails, or a run that
+ * sends events and then ends, fails or hangs.
+ */
+export type ScriptedResult =
   | { read: 'ok' | SendFault['code']; ran?: SendFault['ran'] }
   | { run: 'ok' | SendFault['code']; ran?: SendFault['ran']; events?: number; hang?: boolean; status?: number };
 
-/** A send to a server, as its engine was asked for it. */
-export type Asked = { request: Request; urgency: number };
+/** A request as it was passed to the scripted client. */
+export type SentRequest = { request: Request; urgency: number };
 
-export const testEngine = (script: Act[], calls: string[], asked: Asked[] = []): Engine => {
-  let n = 0;
+/** Model server client that follows a script and records its calls. */
+export const testEngine = (script: ScriptedResult[], calls: string[], asked: SentRequest[] = []): Engine => {
+  let handleCount = 0;
   const fault = (code: SendFault['code'], ran: SendFault['ran'] | undefined): Result<never, SendFault> =>
     Err({ code, ran: ran ?? (code === 'broken' || code === 'late' || code === 'gone' ? 'maybe' : 'no'), why: code });
   return {
     prefill(s, request, terms) {
       asked.push({ request, urgency: terms.urgency });
-      const act = script.shift();
+      const scripted = script.shift();
       calls.push(`read ${s.id}`);
-      if (!act || !('read' in act)) return Promise.resolve(fault('broken', 'maybe'));
+      if (!scripted || !('read' in scripted)) return Promise.resolve(fault('broken', 'maybe'));
       return Promise.resolve(
-        act.read === 'ok' ? Ok({ server: s, id: `h${++n}`, tokens: 1 }) : fault(act.read, act.ran),
+        scripted.read === 'ok'
+          ? Ok({ server: s, id: `h${++handleCount}`, tokens: 1 })
+          : fault(scripted.read, scripted.ran),
       );
     },
-    async run(s, request, from, after, terms, heard) {
+    async run(s, request, from, after, terms, response) {
       asked.push({ request, urgency: terms.urgency });
-      const act = script.shift();
+      const scripted = script.shift();
       calls.push(`run ${s.id}${from ? ` from ${from.id}` : ''}${after !== null ? ` after ${after}` : ''}`);
-      if (!act || !('run' in act)) return fault('broken', 'maybe');
-      if (act.events) {
-        heard.stir();
-        if (!heard.head(act.status ?? 200, [['x-seal', s.id]])) return fault('gone', 'maybe');
+      if (!scripted || !('run' in scripted)) return fault('broken', 'maybe');
+      if (scripted.events) {
+        response.stir();
+        if (!response.head(scripted.status ?? 200, [['x-seal', s.id]])) return fault('gone', 'maybe');
         const first = Number(after ?? 0);
-        for (let i = 1; i <= act.events; i++) heard.event(String(first + i), Buffer.from(`${first + i};`));
+        for (let i = 1; i <= scripted.events; i++) response.event(String(first + i), Buffer.from(`${first + i};`));
       }
-      if (act.hang) {
+      if (scripted.hang) {
         return new Promise((done) => {
           terms.signal.addEventListener('abort', () =>
             done(fault(terms.signal.reason === 'gone' ? 'gone' : 'late', 'maybe')),
           );
         });
       }
-      return act.run === 'ok' ? Ok(undefined) : fault(act.run, act.ran);
+      return scripted.run === 'ok' ? Ok(undefined) : fault(scripted.run, scripted.ran);
     },
     linked: () => false,
     free(h) {
@@ -143,11 +154,12 @@
   };
 };
 
-export const testSink = () => {
+/** Response writer that records what is written. */
+export const testResponseWriter = () => {
   const log: string[] = [];
-  let leave: () => void = () => undefined;
-  let away = false;
-  const sink: AnswerSink = {
+  let disconnect: () => void = () => undefined;
+  let disconnected = false;
+  const writer: AnswerSink = {
     head: (status, headers) => void log.push(`${status} ${headers.map(([, v]) => v).join()}`),
     bytes: (b) => {
       log.push(Buffer.from(b).toString());
@@ -155,17 +167,17 @@
     },
     end: () => void log.push('end'),
     cut: () => void log.push('cut'),
-    gone: () => away,
+    gone: () => disconnected,
     left: (fn) => {
-      leave = fn;
+      disconnect = fn;
     },
   };
   return {
-    sink,
+    writer: writer,
     log,
-    leave(): void {
-      away = true;
-      leave();
+    disconnect(): void {
+      disconnected = true;
+      disconnect();
     },
   };
 };
--- a/packages/router/src/tenantkeys.test.ts
+++ b/packages/router/src/tenantkeys.test.ts
@@ -1,6 +1,6 @@
 import { KeyDigest, type Tenant } from '@pumicebarrow/forms';
 import { expect } from 'chai';
-import { DIRECT, play, type Setting } from './play.test.js';
+import { SHORT_PROMPT, play, type Scenario } from './play.test.js';
 import { prompt } from './stand.test.js';
 
 const [MINE, THEIRS] = [KeyDigest.of('mine'), KeyDigest.of('theirs')];
@@ -9,50 +9,50 @@
   { name: 'two', keys: [THEIRS] },
 ];
 const without = [{ name: 'one', keys: [] }, tenants[1]!];
-const asking = (key: string | null) => ({
-  ...DIRECT.request,
-  ...{ key, headers: [['Authorization', 'Token mine'] as const, ['X-Kept', '1'] as const] },
+const withKey = (keyDigest: string | null) => ({
+  ...SHORT_PROMPT.request,
+  ...{ key: keyDigest, headers: [['Authorization', 'Token mine'] as const, ['X-Kept', '1'] as const] },
 });
 const run = { run: 'ok', events: 1 } as const;
 const BOUND = 5000;
 
-describe('a request under the keys of tenants', () => {
-  const cases: [string, Setting, { code?: string; tenant?: string | null; headers?: string[] }][] = [
+describe('a request with tenant keys', () => {
+  const cases: [string, Scenario, { code?: string; tenant?: string | null; headers?: string[] }][] = [
     [
-      'is served as the tenant that holds its key, and the key goes no further',
-      { script: [run], tenants, request: asking(THEIRS) },
+      'is served as the tenant that holds its key, and the key is not passed on',
+      { script: [run], tenants, request: withKey(THEIRS) },
       { tenant: 'two', headers: ['X-Kept'] },
     ],
-    ['without a key is refused', { script: [], tenants, request: asking(null) }, { code: 'nokey' }],
-    ['with an unknown key is refused', { script: [], tenants, request: asking('x') }, { code: 'unknownkey' }],
+    ['without a key is refused', { script: [], tenants, request: withKey(null) }, { code: 'nokey' }],
+    ['with an unknown key is refused', { script: [], tenants, request: withKey('x') }, { code: 'unknownkey' }],
     [
-      'is refused where there are tenants but none',
-      { script: [], tenants: [], request: asking(MINE) },
+      'is refused if the list of tenants is empty',
+      { script: [], tenants: [], request: withKey(MINE) },
       { code: 'unknownkey' },
     ],
     [
-      'on an open route needs no key, and an unknown one is kept from servers',
-      { script: [run], tenants, route: { open: true }, request: asking('x') },
+      'on an open route needs no key, and an unknown key is not passed on',
+      { script: [run], tenants, route: { open: true }, request: withKey('x') },
       { tenant: null, headers: ['X-Kept'] },
     ],
     [
-      'on an open route is its tenant\u2019s all the same',
-      { script: [run], tenants, route: { open: true }, request: asking(MINE) },
+      'on an open route with a valid key is served as the key\u2019s tenant',
+      { script: [run], tenants, route: { open: true }, request: withKey(MINE) },
       { tenant: 'one', headers: ['X-Kept'] },
     ],
     [
-      'is passed on as it came where the configuration knows no tenants',
-      { script: [run], request: asking(MINE) },
+      'is passed on unchanged if the configuration has no list of tenants',
+      { script: [run], request: withKey(MINE) },
       { tenant: null, headers: ['Authorization', 'X-Kept'] },
     ],
     [
-      'is not served while keys may have been taken away unheard',
-      { script: [], tenants, keysKnown: false, request: asking(MINE) },
+      'is not served while this daemon may have missed a key revocation',
+      { script: [], tenants, keysCurrent: false, request: withKey(MINE) },
       { code: 'keysunsure' },
     ],
     [
-      'on an open route is served all the same',
-      { script: [run], tenants, keysKnown: false, route: { open: true }, request: asking(null) },
+      'on an open route is served although this daemon may have missed a key revocation',
+      { script: [run], tenants, keysCurrent: false, route: { open: true }, request: withKey(null) },
       { tenant: null },
     ],
   ];
@@ -69,39 +69,45 @@
       if (want.headers) expect(got.asked[0]?.headers.map(([k]) => k)).to.deep.equal(want.headers);
     });
 
-  it('goes to its servers as urgently as its tenant\u2019s rank says, before the route\u2019s', async () => {
+  it('is sent with the urgency of its tenant\u2019s rank, which precedes the route\u2019s', async () => {
     const of = async (rank: number) => {
       const ranked = [{ name: 'one', keys: [MINE], rank }];
-      const longer = { ...asking(MINE), prompt: prompt(1500, 1000) };
+      const longer = { ...withKey(MINE), prompt: prompt(1500, 1000) };
       const got = await play({ script: [run], tenants: ranked, route: { rank: 2 }, request: longer });
       return got.urgencies[0]!;
     };
     expect(await of(0)).to.be.lessThan(await of(2));
   });
-  it('is never run once its key was taken away while it waited', async () => {
+  it('is not run if its key is revoked while it waits', async () => {
     const got = await play({
-      ...{ script: [run], asking: 50, tenants, request: asking(MINE), later: { ms: 20, tenants: without } },
-      after: (t) => t.pass(2000),
+      ...{
+        script: [run],
+        loadQueryMs: 50,
+        tenants,
+        request: withKey(MINE),
+        secondTenants: { ms: 20, tenants: without },
+      },
+      duringRequest: (t) => t.pass(2000),
     });
     expect(got.calls).to.deep.equal([]);
     expect([got.verdict?.ran, got.verdict?.code]).to.deep.equal(['no', 'revokedkey']);
   });
-  it('goes to no second server once its key was taken away, and is told that it may have run', async () => {
+  it('is not sent to a second server after its key was revoked, and is reported as possibly run', async () => {
     const got = await play({
       script: [{ run: 'late', hang: true }, run],
-      ...{ tenants, request: asking(MINE), later: { ms: 20, tenants: without } },
-      after: (t) => t.pass(2500),
+      ...{ tenants, request: withKey(MINE), secondTenants: { ms: 20, tenants: without } },
+      duringRequest: (t) => t.pass(2500),
     });
     expect(got.calls).to.have.length(1);
     expect([got.verdict?.ran, got.verdict?.code]).to.deep.equal(['maybe', 'broken']);
   });
-  it('whose answer has begun goes on until shortly before the bound, and is cut then', async () => {
+  it('whose response has started continues until shortly before the revocation bound and is then aborted', async () => {
     let before = '';
     const got = await play({
       script: [{ run: 'ok', events: 1, hang: true }],
       route: { resumable: false },
-      ...{ tenants, request: asking(MINE), later: { ms: 20, tenants: without } },
-      async after(t, out) {
+      ...{ tenants, request: withKey(MINE), secondTenants: { ms: 20, tenants: without } },
+      async duringRequest(t, out) {
         await t.pass(BOUND - 700);
         before = out.log.at(-1)!;
         await t.pass(700);
@@ -109,28 +115,33 @@
     });
     expect([before, got.log.at(-1)]).to.deep.equal(['1;', 'cut']);
   });
-  it('on an open route goes on without its key', async () => {
+  it('on an open route continues although its key was revoked', async () => {
     const got = await play({
       script: [{ run: 'ok', events: 1, hang: true }],
       route: { resumable: false, open: true },
-      ...{ tenants, request: asking(MINE), later: { ms: 20, tenants: without } },
-      async after(t, out) {
+      ...{ tenants, request: withKey(MINE), secondTenants: { ms: 20, tenants: without } },
+      async duringRequest(t, out) {
         await t.pass(BOUND);
         expect(out.log.at(-1)).to.equal('1;');
-        out.leave();
+        out.disconnect();
       },
     });
     expect(got.log.at(-1)).to.equal('cut');
   });
-  it('goes on where its key is held again by then', async () => {
+  it('continues if its key is valid again before the bound', async () => {
     const got = await play({
       script: [{ run: 'ok', events: 1, hang: true }],
       route: { resumable: false },
-      ...{ tenants, request: asking(MINE), later: { ms: 20, tenants: without }, again: { ms: 1000, tenants } },
-      async after(t, out) {
+      ...{
+        tenants,
+        request: withKey(MINE),
+        secondTenants: { ms: 20, tenants: without },
+        thirdTenants: { ms: 1000, tenants },
+      },
+      async duringRequest(t, out) {
         await t.pass(BOUND);
         expect(out.log.at(-1)).to.equal('1;');
-        out.leave();
+        out.disconnect();
       },
     });
     expect(got.log.at(-1)).to.equal('cut');
--- a/packages/router/src/words.ts
+++ b/packages/router/src/words.ts
@@ -2,54 +2,59 @@
 import { View } from '@pumicebarrow/registry';
 import { Type } from 'typebox';
 
-const shut = { additionalProperties: false } as const;
-const maybeMark = Type.Union([Mark, Type.Null()]);
+const strict = { additionalProperties: false } as const;
+const NullableMark = Type.Union([Mark, Type.Null()]);
 
-/** Server, runs, reads, and hundreds of tokens to be read. */
+/** Rows of server id, runs, prefills, and prompt tokens to prefill in hundreds. */
 const LoadRows = Type.Array(Type.Tuple([Type.String(), Type.Integer(), Type.Integer(), Type.Integer()]), {
   maxItems: 4096,
 });
 
-/** What routers and control replicas say to each other, beside purge and the core's own words. */
+/** Schemas of the messages between routers and control replicas, other than those of gossip and the registry. */
 export const Words = {
-  /** A router tells what it holds. */
-  checkin: Type.Object(
+  /** A router's periodic check-in at the head: the versions that it holds, and its load in progress. */
+  checkinRequest: Type.Object(
     {
       version: Type.Integer(),
-      list: maybeMark,
+      list: NullableMark,
       epoch: Type.Integer(),
-      peers: Type.String({ description: 'digest of the peers held, so that they come again only when they changed' }),
-      load: Type.Object({ read: Type.Number(), beside: Type.Number(), run: Type.Number() }, shut),
+      peers: Type.String({ description: 'digest of the peers held, so that they are sent again only after a change' }),
+      /** Prompt tokens to prefill at prefill servers (`read`) and at decode servers (`beside`), and runs. */
+      load: Type.Object({ read: Type.Number(), beside: Type.Number(), run: Type.Number() }, strict),
     },
-    shut,
+    strict,
   ),
-  /** The head says whether that is the newest; `age` is of the list, in ms at the moment of the reply. */
+  /** The head's reply: the newest versions. `age` is the age of the list in ms at the time of the reply. */
   checked: Type.Object(
     {
       ok: Type.Boolean(),
       view: Type.Union([View, Type.Null()]),
       version: Type.Integer(),
-      list: maybeMark,
+      list: NullableMark,
       age: Type.Number(),
       routers: Type.Integer(),
       peers: Type.Union([Type.Array(Ident, { maxItems: 64 }), Type.Null()]),
     },
-    shut,
+    strict,
   ),
-  /** A router asks another for its list; one that is held under this mark need not come again. */
-  ask: Type.Object({ mark: Type.Optional(maybeMark) }, shut),
-  /** The list and its age; where it is the one held, its mark and no rows. */
-  list: Type.Object({ mark: maybeMark, age: Type.Number(), servers: Type.Union([Type.Unknown(), Type.Null()]) }, shut),
-  /** What a router has under way at servers, in rows of id, runs, reads, tokens. */
-  loads: Type.Object({ rows: LoadRows }, shut),
-  /** The rows of a router that changed, or all of them, as they are now, to the member that adds up loads. */
-  ownLoads: Type.Object({ whole: Type.Boolean(), rows: LoadRows }, shut),
-  /** A router asks for the loads of all servers before it chooses one, and says which list it holds. */
-  askLoads: Type.Object({ list: maybeMark }, shut),
+  /** A router asks another for its server list; a list with the version stamp `mark` need not be sent again. */
+  ask: Type.Object({ mark: Type.Optional(NullableMark) }, strict),
+  /** The list and its age in ms; no rows if the requester already has it. */
+  list: Type.Object(
+    { mark: NullableMark, age: Type.Number(), servers: Type.Union([Type.Unknown(), Type.Null()]) },
+    strict,
+  ),
+  /** Load in progress of one router, by server. */
+  loads: Type.Object({ rows: LoadRows }, strict),
+  /** A router's changed rows, or all of them (`whole`), sent to the replica that aggregates loads. */
+  ownLoads: Type.Object({ whole: Type.Boolean(), rows: LoadRows }, strict),
+  /** A router asks for the loads of all servers before it chooses one; `list` is the stamp of the list it holds. */
+  askLoads: Type.Object({ list: NullableMark }, strict),
   /**
-   * What all routers together have under way, at the servers where that is anything: by places in the list of that
-   * mark, in fours of place, runs, reads and hundreds of tokens, and by name those that it does not show.
+   * Load in progress of all routers together, for servers that have any. `places` has four numbers for each server:
+   * its index in the requester's list, runs, prefills, and tokens in hundreds. `rows` has the servers that are not in
+   * that list.
    */
-  allLoads: Type.Object({ places: Type.Array(Type.Integer(), { maxItems: 16384 }), rows: LoadRows }, shut),
-  done: Type.Object({ ok: Type.Boolean() }, shut),
+  allLoads: Type.Object({ places: Type.Array(Type.Integer(), { maxItems: 16384 }), rows: LoadRows }, strict),
+  acknowledgement: Type.Object({ ok: Type.Boolean() }, strict),
 };
