--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -161,7 +161,6 @@
     const serverMetrics = ServerMetrics.make(list, loads);
     const stopFunctions: (() => void)[] = [];
     const routeListeners: ((routes: Routes) => void)[] = [];
-
     store.heed((doc) => {
       if (doc.name === 'charter') {
         const configuration = (doc.body as CharterBody).charter;
--- a/packages/router/src/serve.test.ts
+++ b/packages/router/src/serve.test.ts
@@ -191,7 +191,6 @@
       if (want.turned) expect(got.turned).to.deep.equal(want.turned);
     });
   }
-
   it('defers a first attempt while the prefill servers are far behind and serves its retry', async () => {
     const busy = { p1: 60_000, d1: 60_000, d2: 60_000 };
     const first = await play({ script: [{ read: 'ok' }], busy });
@@ -203,7 +202,6 @@
     expect(withoutServerNumbers(back.calls)).to.deep.equal(['read p1', 'run d from h1']);
     expect(back.log.at(-1)).to.equal('end');
   });
-
   it('moves a silent resumable stream to another server and suspects the first', async () => {
     const got = await play({
       ...SHORT_PROMPT,
@@ -217,7 +215,6 @@
     expect(got.log.slice(1)).to.deep.equal(['1;', '2;', 'end']);
     expect(got.suspected).to.have.length(1);
   });
-
   it('keeps waiting for a silent stream that cannot be resumed', async () => {
     const got = await play({
       ...SHORT_PROMPT,
@@ -232,7 +229,6 @@
     expect(got.calls).to.have.length(1);
     expect(got.log.at(-1)).to.equal('cut');
   });
-
   it('aborts the run at the server once the client has disconnected', async () => {
     const got = await play({
       ...SHORT_PROMPT,
