--- a/packages/registry/src/chain/chain.ts
+++ b/packages/registry/src/chain/chain.ts
@@ -5,15 +5,15 @@
 import type { CoreState } from '../state/corestate.js';
 import { StateChanges } from '../state/statechanges.js';
 import { StateDigest } from '../state/statedigest.js';
-import { StateHandover } from './statehandover.js';
+import { StateTransfer } from './statehandover.js';
 import { CoreMessages } from '../service/coremessages.js';
 import type { Member } from '../membership/member.js';
-import type { Ruling } from './ruling.js';
+import type { CommandResult } from './ruling.js';
 import type { Store } from '../state/store.js';
 import type { View } from '../consensus/view.js';
 import { Views } from '../consensus/views.js';
 
-type Wait = { command: Command; done: (r: Ruling) => void };
+type Wait = { command: Command; done: (r: CommandResult) => void };
 type Hooks = {
   view: () => View | null;
   live: () => boolean;
@@ -42,7 +42,7 @@
       turn = () => done(null);
     });
     const changes = StateChanges.make();
-    const handover = StateHandover.make(post, changes);
+    const handover = StateTransfer.make(post, changes);
     const log = world.log('chain');
     const alone = <T>(fn: () => Promise<T>): Promise<T> => {
       const next = lock.then(fn, fn);
@@ -71,7 +71,7 @@
         next = view.chain[place + 1];
       if (place < 0) return false;
       if (next) {
-        const given = await Promise.race([turned, handover.give(next, view.epoch, s)]);
+        const given = await Promise.race([turned, handover.send(next, view.epoch, s)]);
         if (!given) return false;
       }
       if (hooks.view()?.epoch !== view.epoch) return false;
@@ -103,10 +103,10 @@
         Batch.refuse(batch, why ?? 'No view.');
         return;
       }
-      const { next, out } = Batch.rule(state, batch);
+      const { next, out } = Batch.apply(state, batch);
       if (next !== state) begun(next);
       const good = (await save(next)) && (await down(view, next)) && hooks.live();
-      Batch.tell(out, good);
+      Batch.reply(out, good);
       if (good) return;
       ready = 0;
       void mend();
@@ -158,10 +158,10 @@
     return {
       state: (): CoreState => state,
       passed: (): CoreState | null => passed,
-      ready: (): boolean => able() === null,
+      isReady: (): boolean => able() === null,
       fresh: (): boolean => fresh === hooks.view()?.epoch,
       backlog: (): number => held.length,
-      write: (command: Command): Promise<Ruling> =>
+      write: (command: Command): Promise<CommandResult> =>
         new Promise((done) => {
           const why = able();
           if (why !== null) {
@@ -175,7 +175,7 @@
           held = [...held, { command, done }];
           void work();
         }),
-      moved(): void {
+      onViewChange(): void {
         passed = null;
         turn();
         turned = new Promise<null>((done) => {
@@ -186,7 +186,7 @@
         void mend();
       },
       /** A member below has lost its place, or holds nothing of this view yet. */
-      remend(): void {
+      resync(): void {
         if (ready !== 0) {
           ready = 0;
           void mend();
--- a/packages/registry/src/chain/controlclient.ts
+++ b/packages/registry/src/chain/controlclient.ts
@@ -2,9 +2,9 @@
 import type { Static } from 'typebox';
 import type { Command } from './command.js';
 import { CoreMessages } from '../service/coremessages.js';
-import { BurstWords } from '../lending/burstwords.js';
+import { BurstMessages } from '../lending/burstwords.js';
 import { CoreTimings } from '../coretimings.js';
-import type { Ruling } from './ruling.js';
+import type { CommandResult } from './ruling.js';
 import type { View } from '../consensus/view.js';
 import { Views } from '../consensus/views.js';
 
@@ -38,11 +38,11 @@
       const all = [...near, ...Dice.some(world.chance, rest, LOOK - near.length)];
       return new Promise((done) => {
         const asked = all.map(async (a) => {
-          const r = await post.ask(a, '', 'core.hint', {}, CoreMessages.hint, CoreTimings.ask);
+          const r = await post.ask(a, '', 'core.hint', {}, CoreMessages.hint, CoreTimings.requestTimeoutMs);
           if (r.ok) learn(r.val.view);
           if (epoch() > was) done();
         });
-        const stop = view ? world.clock.after(CoreTimings.peek, done) : () => undefined;
+        const stop = view ? world.clock.after(CoreTimings.viewQueryTimeoutMs, done) : () => undefined;
         void Promise.all(asked).then(() => {
           stop();
           done();
@@ -92,7 +92,7 @@
           else if (open) wait();
         };
         const wait = (): void => {
-          stop = world.clock.after(CoreTimings.peek, () => void peek());
+          stop = world.clock.after(CoreTimings.viewQueryTimeoutMs, () => void peek());
         };
         wait();
         void job.then(settle);
@@ -101,9 +101,9 @@
     if (!own) post.on('core.hint', CoreMessages.look, () => ({ view }));
     return {
       view: (): View | null => view,
-      learn,
-      look,
-      async write(command: Command, ms = 4000): Promise<{ ruling: Ruling; term: number; sent: number }> {
+      learn: learn,
+      look: look,
+      async write(command: Command, ms = 4000): Promise<{ ruling: CommandResult; term: number; sent: number }> {
         let unsure = false;
         let sent = world.clock.mono();
         const got = await reach('head', ms, async (addr, id) => {
@@ -135,24 +135,29 @@
             'core.read',
             plan === undefined ? {} : { plan },
             CoreMessages.readout,
-            CoreTimings.ask,
+            CoreTimings.requestTimeoutMs,
           );
           return r.ok ? { got: r.val.ok ? r.val : null, view: r.val.view } : { got: null, view: null };
         }),
       /** Bursts in counts; with a key that one alone, and whole; its outcomes' texts only if they are asked for. */
-      bursts: (ask: Static<typeof BurstWords.read>, ms: number): Promise<Static<typeof BurstWords.told> | null> =>
+      bursts: (
+        ask: Static<typeof BurstMessages.readRequest>,
+        ms: number,
+      ): Promise<Static<typeof BurstMessages.readReply> | null> =>
         reach('tail', ms, async (addr, id) => {
-          const r = await post.ask(addr, id, 'core.burst', ask, BurstWords.told, CoreTimings.ask);
+          const r = await post.ask(addr, id, 'core.burst', ask, BurstMessages.readReply, CoreTimings.requestTimeoutMs);
           return r.ok ? { got: r.val.ok ? r.val : null, view: r.val.view } : { got: null, view: null };
         }),
       checkin: (body: Static<typeof CoreMessages.checkin>): Promise<Checked | null> =>
         reach('head', 0, async (addr, id) => {
-          const r = await unlessMoved(post.ask(addr, id, 'core.checkin', body, CoreMessages.checked, CoreTimings.ask));
+          const r = await unlessMoved(
+            post.ask(addr, id, 'core.checkin', body, CoreMessages.checked, CoreTimings.requestTimeoutMs),
+          );
           return r.ok ? { got: r.val.ok ? r.val : null, view: r.val.view } : { got: null, view: null };
         }),
-      roll: (): Promise<Static<typeof CoreMessages.roll> | null> =>
+      readRoster: (): Promise<Static<typeof CoreMessages.roll> | null> =>
         reach('head', 1500, async (addr, id) => {
-          const r = await post.ask(addr, id, 'core.roll', {}, CoreMessages.roll, CoreTimings.ask);
+          const r = await post.ask(addr, id, 'core.roll', {}, CoreMessages.roll, CoreTimings.requestTimeoutMs);
           return r.ok ? { got: r.val.roster.length > 0 ? r.val : null, view: r.val.view } : { got: null, view: null };
         }),
       async leave(names: readonly string[]): Promise<void> {
@@ -163,7 +168,7 @@
             'core.leave',
             { names },
             CoreMessages.done,
-            CoreTimings.ask,
+            CoreTimings.requestTimeoutMs,
           );
       },
     };
--- a/packages/registry/src/chain/ruling.ts
+++ b/packages/registry/src/chain/ruling.ts
@@ -2,7 +2,7 @@
 import { Type, type Static } from 'typebox';
 
 /** What a command came to. `ran` speaks of the write: 'no' only if nothing was written for it. */
-export const Ruling = Type.Object(
+export const CommandResult = Type.Object(
   {
     verdict: Verdict,
     version: Type.Optional(Type.Integer()),
@@ -11,4 +11,4 @@
   },
   { additionalProperties: false },
 );
-export type Ruling = Static<typeof Ruling>;
+export type CommandResult = Static<typeof CommandResult>;
--- a/packages/registry/src/chain/statehandover.ts
+++ b/packages/registry/src/chain/statehandover.ts
@@ -11,13 +11,20 @@
  * Hands versions to the next member of the chain: what changed against the version that it holds, or the whole state
  * if it lacks that one. Invariant: true is given only on the member's word that it holds the version.
  */
-export const StateHandover = {
+export const StateTransfer = {
   make(post: PostBox, changes: StateChanges) {
     /** What the next member said last that it holds. */
     let held: Held | null = null;
     const whole = async (to: Member, epoch: number, state: CoreState): Promise<boolean> => {
       const reply = await post.ask(
-        ...([to.addr, to.id, 'core.push' as const, { epoch, state }, CoreMessages.done, CoreTimings.push] as const),
+        ...([
+          to.addr,
+          to.id,
+          'core.push' as const,
+          { epoch, state },
+          CoreMessages.done,
+          CoreTimings.stateTransferTimeoutMs,
+        ] as const),
       );
       return reply.ok && reply.val.ok;
     };
@@ -31,14 +38,14 @@
           'core.change' as const,
           { epoch, change },
           CoreMessages.changed,
-          CoreTimings.push,
+          CoreTimings.stateTransferTimeoutMs,
         ] as const),
       );
       if (reply.err) return reply.val === 'wrong' ? null : false;
       return reply.val.lacking ? null : reply.val.ok;
     };
     return {
-      async give(to: Member, epoch: number, state: CoreState): Promise<boolean> {
+      async send(to: Member, epoch: number, state: CoreState): Promise<boolean> {
         const member = `${to.id}/${to.born}`;
         // After a new view it most likely holds the same as this one does.
         const base = held?.member === member ? held.state : state;
--- a/packages/registry/src/consensus/bootstrap.ts
+++ b/packages/registry/src/consensus/bootstrap.ts
@@ -38,14 +38,14 @@
     /** Where candidates are that others have told of; they are asked in the next turn. */
     let told: readonly string[] = [];
     const note = (m: Member): void => {
-      if (m.id !== h.me().id) met.set(m.id, m, CoreTimings.met);
+      if (m.id !== h.me().id) met.set(m.id, m, CoreTimings.candidateTtlMs);
     };
     /** The candidates that this one knows, itself among them; none if it is none. */
     const known = (): Member[] => (h.stands() ? BootstrapRules.ordered([h.me(), ...met.all()]) : []);
-    post.on('core.look', CoreMessages.look, () => ({ view: h.view(), took: voter.took(), me: h.me() }));
+    post.on('core.look', CoreMessages.look, () => ({ view: h.view(), took: voter.acceptedView(), me: h.me() }));
     post.on('core.meet', CoreMessages.meet, (body) => {
       note(body.me);
-      return { view: h.view(), took: voter.took(), me: h.me(), met: known() };
+      return { view: h.view(), took: voter.acceptedView(), me: h.me(), met: known() };
     });
     const ask = async <S extends TSchema>(
       kind: string,
@@ -55,7 +55,10 @@
       const addrs = new Set([...h.cores(), ...told, ...met.all().map((m) => m.addr)]);
       addrs.delete(h.me().addr);
       const got = await Promise.all(
-        [...addrs].map(async (addr) => ({ addr, r: await post.ask(addr, '', kind, body, form, CoreTimings.ask) })),
+        [...addrs].map(async (addr) => ({
+          addr,
+          r: await post.ask(addr, '', kind, body, form, CoreTimings.requestTimeoutMs),
+        })),
       );
       return got.flatMap(({ addr, r }) => (r.ok ? [{ addr, reply: r.val }] : []));
     };
@@ -66,8 +69,8 @@
         .sort((a, b) => b.epoch - a.epoch)[0];
     return {
       /** One turn of a daemon without a view: it takes up one that others hold, or has a part in making the first. */
-      async turn(): Promise<void> {
-        const took = voter.took(),
+      async runRound(): Promise<void> {
+        const took = voter.acceptedView(),
           me = h.me();
         if (took && Views.votes(took, me)) {
           if (await viewChanger.propose(took.voters, took, 'Taking up a first view left half made.')) return;
--- a/packages/registry/src/consensus/leaserecall.ts
+++ b/packages/registry/src/consensus/leaserecall.ts
@@ -26,23 +26,23 @@
   ) {
     post.on('core.rest', CoreMessages.rest, (body) => {
       const ok = view()?.epoch === body.epoch;
-      if (ok) detector.rest();
+      if (ok) detector.releaseLeases();
       return { ok };
     });
     const ask = async (v: View, m: Member): Promise<void> => {
-      if (Views.same(m, me())) detector.rest();
+      if (Views.same(m, me())) detector.releaseLeases();
       else {
         const r = await post.ask(
-          addresses.of(m),
+          addresses.addressOf(m),
           m.id,
           'core.rest',
           { epoch: v.epoch },
           CoreMessages.done,
-          CoreTimings.ask,
+          CoreTimings.requestTimeoutMs,
         );
         if (!r.ok || !r.val.ok) return;
       }
-      voter.rested(v.epoch, m);
+      voter.releaseLease(v.epoch, m);
     };
     return {
       ...voter,
@@ -51,7 +51,7 @@
           v = view();
         if (first.ok || first.wait === 0 || !v || v.epoch + 1 !== epoch) return first;
         const all = Promise.all(v.chain.map((m) => ask(v, m)));
-        await Promise.race([all, Timer.nap(world.clock, CoreTimings.rest)]);
+        await Promise.race([all, Timer.nap(world.clock, CoreTimings.leaseRecallTimeoutMs)]);
         return voter.prepare(epoch, ballot);
       },
     };
--- a/packages/registry/src/consensus/nextviews.ts
+++ b/packages/registry/src/consensus/nextviews.ts
@@ -59,7 +59,7 @@
    * reserve in its place: nothing is confirmed in a view that has one, so all of them hold the same.
    */
   promoting(v: View, m: Member, away: readonly Member[], known: Knowledge): View | null {
-    if (!Views.reserved(v, m) || !completeNow(v, known).every((x) => includes(away, x))) return null;
+    if (!Views.isInReserve(v, m) || !completeNow(v, known).every((x) => includes(away, x))) return null;
     const others = v.chain.filter((x) => !includes(away, x) && x.id !== m.id);
     return following(v, [m, ...others], known, [m]);
   },
--- a/packages/registry/src/consensus/view.ts
+++ b/packages/registry/src/consensus/view.ts
@@ -2,7 +2,7 @@
 import { Member } from '../membership/member.js';
 import { ViewLimits } from './viewlimits.js';
 
-const members = { maxItems: ViewLimits.chain };
+const members = { maxItems: ViewLimits.maxChainLength };
 
 /**
  * The agreed order of the core. The chain runs from its head (first) to its tail (last).
@@ -15,8 +15,8 @@
 export const View = Type.Object(
   {
     epoch: Type.Integer({ minimum: 1 }),
-    voters: Type.Array(Member, { minItems: 3, maxItems: ViewLimits.voters }),
-    chain: Type.Array(Member, { minItems: 1, maxItems: ViewLimits.chain }),
+    voters: Type.Array(Member, { minItems: 3, maxItems: ViewLimits.maxVoters }),
+    chain: Type.Array(Member, { minItems: 1, maxItems: ViewLimits.maxChainLength }),
     joining: Type.Optional(
       Type.Array(Member, { ...members, description: 'members of the chain not known to hold all that was confirmed' }),
     ),
--- a/packages/registry/src/consensus/viewchanger.ts
+++ b/packages/registry/src/consensus/viewchanger.ts
@@ -20,7 +20,7 @@
 
 /** Ballots come in blocks of so many. Invariant: each voter has one of its own in every block,
  * and those that have no vote share the last. */
-const BLOCK = ViewLimits.voters + 1;
+const BLOCK = ViewLimits.maxVoters + 1;
 /** Members by name, in their order. */
 const text = (list: readonly Member[]): string => JSON.stringify(list.map((m) => [m.id, m.born]));
 
@@ -45,7 +45,7 @@
 
     const ballot = (voters: readonly Member[]): number => {
       const place = voters.findIndex((m) => m.id === me().id);
-      const mine = place < 0 ? ViewLimits.voters : place;
+      const mine = place < 0 ? ViewLimits.maxVoters : place;
       const n = Math.floor(top / BLOCK) * BLOCK + BLOCK + mine;
       top = n;
       return n;
@@ -74,12 +74,12 @@
       const first = await poll(promisers, needed(false), async (m) => {
         if (Views.same(m, me())) return { ...(await voter.prepare(epoch, n)), view: null };
         const r = await post.ask(
-          addresses.of(m),
+          addresses.addressOf(m),
           m.id,
           'core.prepare',
           { epoch, ballot: n },
           CoreMessages.prepared,
-          CoreTimings.ask,
+          CoreTimings.requestTimeoutMs,
         );
         return r.ok ? r.val : null;
       });
@@ -94,7 +94,7 @@
       // Nobody else may count those that promised.
       if (BootstrapRules.isTakenOver(promisers.length, voters.length, taken)) return null;
       if (yes.length < needed(taken)) {
-        const wait = Math.min(CoreTimings.hold, Math.max(...first.map((v) => v.wait ?? 0), 0));
+        const wait = Math.min(CoreTimings.viewLeaseMs, Math.max(...first.map((v) => v.wait ?? 0), 0));
         await Timer.nap(world.clock, wait + Dice.int(world.chance, 60));
         return null;
       }
@@ -103,12 +103,12 @@
       const second = await poll(voters, most, async (m) => {
         if (Views.same(m, me())) return { ...(await voter.accept(epoch, n, view)), view: null };
         const r = await post.ask(
-          addresses.of(m),
+          addresses.addressOf(m),
           m.id,
           'core.accept',
           { epoch, ballot: n, view },
           CoreMessages.accepted,
-          CoreTimings.ask,
+          CoreTimings.requestTimeoutMs,
         );
         return r.ok ? r.val : null;
       });
@@ -117,9 +117,9 @@
     };
 
     return {
-      busy: (): boolean => busy,
+      isBusy: (): boolean => busy,
       /** Settles when all members of the view agreed last have been told of it, or could not be. */
-      told: (): Promise<unknown> => told,
+      announced: (): Promise<unknown> => told,
       /**
        * Tries for a while; true once some view of that epoch is in force here. The first view may have to be promised
        * by more daemons than will vote: `promisers`.
@@ -143,7 +143,14 @@
                 Views.all(view)
                   .filter((m) => !Views.same(m, me()))
                   .map((m) =>
-                    post.ask(addresses.of(m), m.id, 'core.view', { view }, CoreMessages.done, CoreTimings.ask),
+                    post.ask(
+                      addresses.addressOf(m),
+                      m.id,
+                      'core.view',
+                      { view },
+                      CoreMessages.done,
+                      CoreTimings.requestTimeoutMs,
+                    ),
                   ),
               );
               return done;
--- a/packages/registry/src/consensus/viewfile.test.ts
+++ b/packages/registry/src/consensus/viewfile.test.ts
@@ -20,23 +20,23 @@
   it('is settled where there is nothing to write', async () => {
     for (const loaded of [null, view(4)]) {
       const { disk, file } = make(loaded);
-      expect(await file.settled()).to.equal(true);
+      expect(await file.ensureSaved()).to.equal(true);
       expect(disk.epochs).to.deep.equal([]);
     }
   });
   it('is not settled while a view can not be written, and is written again when asked', async () => {
     const { disk, file } = make(view(4));
     disk.full = true;
-    expect(await file.put(view(5))).to.equal('full');
-    expect(await file.settled()).to.equal(false);
+    expect(await file.save(view(5))).to.equal('full');
+    expect(await file.ensureSaved()).to.equal(false);
     disk.full = false;
-    expect(await file.settled()).to.equal(true);
+    expect(await file.ensureSaved()).to.equal(true);
     expect(disk.epochs).to.deep.equal([5]);
   });
   it('waits for writes under way, and ends with the newest', async () => {
     const { disk, file } = make(null);
-    const writes = [file.put(view(1)), file.put(view(2))];
-    expect(await file.settled()).to.equal(true);
+    const writes = [file.save(view(1)), file.save(view(2))];
+    expect(await file.ensureSaved()).to.equal(true);
     expect(disk.epochs.at(-1)).to.equal(2);
     expect(await Promise.all(writes)).to.deep.equal([null, null]);
   });
--- a/packages/registry/src/consensus/viewfile.ts
+++ b/packages/registry/src/consensus/viewfile.ts
@@ -25,13 +25,13 @@
     };
     return {
       /** Writes a view that is newer than any before it; gives the fault, or null once it is on disk. */
-      async put(view: View): Promise<string | null> {
+      async save(view: View): Promise<string | null> {
         newest = view;
         const done = await next();
         return done?.err ? done.val : null;
       },
       /** Whether the newest view is on disk, once what is under way has ended and what had failed was written again. */
-      async settled(): Promise<boolean> {
+      async ensureSaved(): Promise<boolean> {
         if (!isSaved()) await next();
         return isSaved();
       },
--- a/packages/registry/src/consensus/views.ts
+++ b/packages/registry/src/consensus/views.ts
@@ -9,7 +9,7 @@
 
 /** Questions asked of a view. */
 export const Views = {
-  same,
+  same: same,
   head: (v: View): Member => v.chain[0]!,
   tail: (v: View): Member => v.chain[v.chain.length - 1]!,
   place: (v: View, w: Who): number => v.chain.findIndex((m) => same(m, w)),
@@ -19,7 +19,7 @@
   /** Members of the chain that hold all that was confirmed when the view was agreed. */
   complete: (v: View): Member[] => v.chain.filter((m) => !includes(v.joining, m)),
   /** Whether it stands outside the chain, holding all that was confirmed. */
-  reserved: (v: View, w: Who): boolean => includes(v.reserve, w),
+  isInReserve: (v: View, w: Who): boolean => includes(v.reserve, w),
   all(v: View): Member[] {
     const outside = [...v.voters, ...(v.reserve ?? [])].filter((m) => Views.place(v, m) < 0);
     return [...v.chain, ...outside.filter((m, i) => outside.findIndex((x) => same(x, m)) === i)];
--- a/packages/registry/src/consensus/voter.test.ts
+++ b/packages/registry/src/consensus/voter.test.ts
@@ -118,9 +118,9 @@
       const v = Voter.make(store, () => now, null);
       for (const s of steps) {
         if (s[0] === 'wait') now += s[1];
-        else if (s[0] === 'moved') v.moved(s[1]);
+        else if (s[0] === 'moved') v.onViewChange(s[1]);
         else if (s[0] === 'sick') sick = s[1];
-        else if (s[0] === 'grant') expect(v.grant(s[1], 800)).to.equal(s[2]);
+        else if (s[0] === 'grant') expect(v.grantLease(s[1], 800)).to.equal(s[2]);
         else if (s[0] === 'prepare') expect((await v.prepare(s[1], s[2])).ok).to.equal(s[3]);
         else expect((await v.accept(s[1], s[2], view(s[1]))).ok).to.equal(s[3]);
       }
@@ -156,10 +156,10 @@
       0,
       () => Promise.resolve(settled),
     );
-    v.moved(2);
+    v.onViewChange(2);
     expect((await v.prepare(3, 8)).ok).to.equal(false);
     expect((await v.accept(3, 8, view(3))).ok).to.equal(false);
-    expect(v.grant(2, 800)).to.equal(true);
+    expect(v.grantLease(2, 800)).to.equal(true);
     now = 801;
     settled = true;
     expect((await v.prepare(3, 8)).ok).to.equal(true);
--- a/packages/registry/src/consensus/voter.ts
+++ b/packages/registry/src/consensus/voter.ts
@@ -41,7 +41,7 @@
       if (done.ok) vote = v;
       return done;
     };
-    const at = (epoch: number): Vote => VoterRules.at(vote, epoch);
+    const at = (epoch: number): Vote => VoterRules.voteForEpoch(vote, epoch);
     const no = (epoch: number, wait: number): Prepared => ({
       ok: false,
       wait,
@@ -49,9 +49,9 @@
       took: null,
     });
     return {
-      took: (): View | null => vote?.took?.view ?? null,
+      acceptedView: (): View | null => vote?.took?.view ?? null,
       /** Grants a lease on the view of `epoch`, unless the next view is under way. */
-      grant(epoch: number, ms: number, who?: Who): boolean {
+      grantLease(epoch: number, ms: number, who?: Who): boolean {
         if (mono() < moving || !VoterRules.mayGrant(vote, epoch)) return false;
         held.set(key(who), mono() + ms);
         return true;
@@ -75,11 +75,11 @@
           return { ok: done.ok, promised: ballot };
         }),
       /** One that held a lease on the view of `epoch` has laid it down. */
-      rested(epoch: number, who: Who): void {
+      releaseLease(epoch: number, who: Who): void {
         if (epoch === present && mono() < moving) held.delete(key(who));
       },
       /** A new view is in force; what was bound to the old one is over. */
-      moved(epoch: number): void {
+      onViewChange(epoch: number): void {
         present = epoch;
         moving = 0;
         for (const [k, at] of held) if (at <= mono()) held.delete(k);
--- a/packages/registry/src/consensus/voterrules.ts
+++ b/packages/registry/src/consensus/voterrules.ts
@@ -8,24 +8,29 @@
  */
 export const VoterRules = {
   /** What the voter is bound to for an epoch. */
-  at: (vote: Vote | null, epoch: number): Vote =>
+  voteForEpoch: (vote: Vote | null, epoch: number): Vote =>
     vote && vote.epoch === epoch ? vote : { epoch, promised: 0, took: null },
   /** Whether an epoch is over for a voter whose view is of the epoch `present`. */
-  past: (vote: Vote | null, present: number, epoch: number): boolean =>
+  isEpochOver: (vote: Vote | null, present: number, epoch: number): boolean =>
     epoch <= present || (vote !== null && epoch < vote.epoch),
   /** Whether a lease on the view of an epoch may be granted: not once the voter is bound to any later one. */
   mayGrant: (vote: Vote | null, epoch: number): boolean =>
     vote === null || vote.epoch <= epoch || (vote.epoch === epoch + 1 && vote.promised === 0),
   /** The vote with a ballot promised; null where it may not be. */
   promise(vote: Vote | null, present: number, epoch: number, ballot: number, leased: boolean): Vote | null {
-    const now = VoterRules.at(vote, epoch);
-    if (leased || VoterRules.past(vote, present, epoch) || ballot <= now.promised) return null;
+    const now = VoterRules.voteForEpoch(vote, epoch);
+    if (leased || VoterRules.isEpochOver(vote, present, epoch) || ballot <= now.promised) return null;
     return { ...now, promised: ballot };
   },
   /** The vote with a view accepted; null where it may not be. */
   accept(vote: Vote | null, present: number, ballot: number, view: View, leased: boolean): Vote | null {
     const { epoch } = view;
-    if (leased || VoterRules.past(vote, present, epoch) || ballot < VoterRules.at(vote, epoch).promised) return null;
+    if (
+      leased ||
+      VoterRules.isEpochOver(vote, present, epoch) ||
+      ballot < VoterRules.voteForEpoch(vote, epoch).promised
+    )
+      return null;
     return { epoch, promised: ballot, took: { ballot, view } };
   },
   /** What a proposer must propose: the view of the highest ballot accepted by any that promised, else its own. */
--- a/packages/registry/src/core.ts
+++ b/packages/registry/src/core.ts
@@ -2,8 +2,8 @@
 import { interpret } from 'robot3';
 import { Chain } from './chain/chain.js';
 import { ChainRules } from './chain/chainrules.js';
-import { CoreLife } from './corelife.js';
-import { CoreDesk } from './service/coredesk.js';
+import { CoreLifecycle } from './corelife.js';
+import { CoreService } from './service/coredesk.js';
 import type { CoreState } from './state/corestate.js';
 import { CoreMessages } from './service/coremessages.js';
 import { Bootstrap } from './consensus/bootstrap.js';
@@ -42,22 +42,23 @@
   make(world: World, post: PostBox, ident: () => Ident, store: Store, kept: Kept, h: Hooks) {
     const log = world.log('core');
     const me = (): Member => ({ id: ident().id, born: ident().born, addr: ident().addr });
-    const life = interpret(CoreLife, () => undefined);
+    const life = interpret(CoreLifecycle, () => undefined);
     const viewFile = ViewFile.make(store, kept.view);
     // A daemon that lived before may have granted leases, also on a view that it had not on disk yet.
-    const until = kept.born === null ? 0 : world.clock.mono() + CoreTimings.hold;
-    const voter = Voter.make(store, world.clock.mono, kept.vote, until, viewFile.settled);
+    const until = kept.born === null ? 0 : world.clock.mono() + CoreTimings.viewLeaseMs;
+    const voter = Voter.make(store, world.clock.mono, kept.vote, until, viewFile.ensureSaved);
     const addresses = AddressBook.make(world, post, me, h.cores);
     const detector = FailureDetector.make(world, post, me, addresses, voter);
     let view: View | null = null;
     const resting = LeaseRecall.make(world, post, me, addresses, () => view, detector, voter);
     let leaving = false;
     let stop: () => void = () => undefined;
-    const sick = (): boolean => life.machine.current === 'sick' || store.stalled() > CoreTimings.stall;
+    const sick = (): boolean =>
+      life.machine.current === 'sick' || store.longestPendingWriteMs() > CoreTimings.diskStallMs;
     const inside = (): boolean => !!view && view.chain.some((m) => Views.same(m, me()) && m.addr === me().addr);
     /** In the chain, though the view may still have it at another address. */
     const placed = (v: View): boolean => Views.place(v, me()) >= 0;
-    const live = (): boolean => !sick() && detector.live(view);
+    const live = (): boolean => !sick() && detector.holdsLease(view);
     const ill = (why: string): void => {
       if (life.machine.current !== 'sick') {
         log.warn(`The disk failed: ${why}. Leaving the chain.`);
@@ -67,20 +68,26 @@
     };
     const isTail = (): boolean => !!view && Views.same(Views.tail(view), me());
     const isHead = (): boolean => !!view && Views.same(Views.head(view), me());
-    const chain = Chain.make(world, post, store, kept.state, { view: () => view, live, me, ill, passed: h.passed });
-    const desk = CoreDesk.make(world, post, { view: () => view, live, chain, isTail, isHead });
+    const chain = Chain.make(world, post, store, kept.state, {
+      view: () => view,
+      live: live,
+      me,
+      ill: ill,
+      passed: h.passed,
+    });
+    const desk = CoreService.make(world, post, { view: () => view, live: live, chain, isTail, isHead });
     const place = (next: View): void => {
       view = next;
-      voter.moved(next.epoch);
+      voter.onViewChange(next.epoch);
       detector.reset();
-      desk.moved();
+      desk.onViewChange();
       life.send(inside() ? 'placed' : 'found');
-      chain.moved();
+      chain.onViewChange();
     };
     const adopt = async (next: View): Promise<boolean> => {
       if (view && next.epoch <= view.epoch) return next.epoch === view.epoch;
       place(next);
-      const fault = await viewFile.put(next);
+      const fault = await viewFile.save(next);
       if (fault !== null) ill(fault);
       return true;
     };
@@ -92,7 +99,7 @@
       me,
       addresses,
       view: () => view,
-      stands,
+      stands: stands,
       adopt,
     });
 
@@ -101,12 +108,20 @@
         world.chance,
         Views.all(v).filter((m) => m.id !== me().id),
       );
-      if (ask) await post.ask(addresses.of(ask), ask.id, 'core.join', { me: me() }, CoreMessages.done, CoreTimings.ask);
+      if (ask)
+        await post.ask(
+          addresses.addressOf(ask),
+          ask.id,
+          'core.join',
+          { me: me() },
+          CoreMessages.done,
+          CoreTimings.requestTimeoutMs,
+        );
     };
     const repair = RepairTask.make(me, world.clock.mono, detector, viewChanger, chain);
     const heal = async (): Promise<void> => {
-      const done = await store.name(me().born, false);
-      if (done.ok && (await viewFile.settled())) {
+      const done = await store.saveIdentity(me().born, false);
+      if (done.ok && (await viewFile.ensureSaved())) {
         log.say('The disk is well again.');
         life.send('well');
       }
@@ -114,27 +129,27 @@
     const tick = async (): Promise<void> => {
       if (life.machine.current === 'sick') void heal();
       if (!view) {
-        await bootstrap.turn();
+        await bootstrap.runRound();
         return;
       }
-      const best = await detector.beat(view, { sick: sick(), fresh: chain.fresh() });
+      const best = await detector.sendHeartbeats(view, { sick: sick(), fresh: chain.fresh() });
       if (best) await adopt(best);
       const now: View = view;
       if (inside()) {
-        if (!sick()) repair.mind(now);
+        if (!sick()) repair.checkMembers(now);
       } else if (!sick() && !leaving) {
-        repair.takeOver(now);
-        if (!viewChanger.busy()) await join(now);
+        repair.takeOverFromReserve(now);
+        if (!viewChanger.isBusy()) await join(now);
       }
     };
 
     post.on('core.beat', CoreMessages.beat, (body) => {
       addresses.note(body.me);
-      detector.seen(body.me, { sick: body.sick, fresh: body.fresh, epoch: body.epoch });
+      detector.recordHeartbeat(body.me, { sick: body.sick, fresh: body.fresh, epoch: body.epoch });
       const lease =
         !!view &&
         ChainRules.mayLease(view, body.epoch, body.me, me()) &&
-        voter.grant(view.epoch, CoreTimings.hold, body.me);
+        voter.grantLease(view.epoch, CoreTimings.viewLeaseMs, body.me);
       return { me: me(), view, claim: lease, sick: sick(), fresh: chain.fresh() };
     });
     const fits = (epoch: number): boolean =>
@@ -153,11 +168,11 @@
       const v = view,
         m = body.me;
       addresses.note(m);
-      if (!v || !placed(v) || sick() || viewChanger.busy() || !Views.votes(v, me())) return { ok: false };
+      if (!v || !placed(v) || sick() || viewChanger.isBusy() || !Views.votes(v, me())) return { ok: false };
       const twin = v.chain.find((x) => x.id === m.id);
       if (!Views.room(v, m) || (twin?.addr === m.addr && Views.same(twin, m))) return { ok: false };
-      if (twin && !Views.same(twin, m) && detector.silent(twin) < CoreTimings.suspect) return { ok: false };
-      const next = repair.joined(v, m);
+      if (twin && !Views.same(twin, m) && detector.silentForMs(twin) < CoreTimings.suspectAfterMs) return { ok: false };
+      const next = repair.viewWithNewcomer(v, m);
       if (next) void viewChanger.propose(v.voters, next, `${m.id} joins at the tail.`);
       return { ok: next !== null };
     });
@@ -165,7 +180,7 @@
     return {
       start(): void {
         if (kept.view) place(kept.view);
-        stop = Timer.every(world.clock, CoreTimings.beat, tick);
+        stop = Timer.every(world.clock, CoreTimings.heartbeatIntervalMs, tick);
       },
       /** Has a view agreed without this daemon, if enough copies are left, and sees to it that the others know. */
       async leave(): Promise<void> {
@@ -174,18 +189,18 @@
           while (view && inside() && !sick() && view.chain.length > Views.most(view)) {
             if (!(await repair.leave(view))) await Timer.nap(world.clock, 20);
           }
-          await viewChanger.told();
+          await viewChanger.announced();
         };
-        await Timer.within(world.clock, CoreTimings.leave, out(), () => undefined);
+        await Timer.within(world.clock, CoreTimings.leaveTimeoutMs, out(), () => undefined);
       },
       stop(): void {
         stop();
       },
       view: (): View | null => view,
       life: (): string => life.machine.current,
-      live,
+      live: live,
       chain,
-      desk,
+      service: desk,
     };
   },
 };
--- a/packages/registry/src/corelife.test.ts
+++ b/packages/registry/src/corelife.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import { interpret } from 'robot3';
-import { CoreLife } from './corelife.js';
+import { CoreLifecycle } from './corelife.js';
 
 const cases: [string[], string][] = [
   [[], 'blank'],
@@ -16,7 +16,7 @@
 describe('CoreLife', () => {
   for (const [events, end] of cases) {
     it(`${events.join(', ') || 'nothing'} leads to ${end}`, () => {
-      const s = interpret(CoreLife, () => undefined);
+      const s = interpret(CoreLifecycle, () => undefined);
       for (const e of events) s.send(e as never);
       expect(s.machine.current).to.equal(end);
     });
--- a/packages/registry/src/lending/burstdesk.ts
+++ b/packages/registry/src/lending/burstdesk.ts
@@ -3,7 +3,7 @@
 import type { View } from '../consensus/view.js';
 import type { Burst } from './burst.js';
 import { BurstSummary } from './burstsummary.js';
-import { BurstWords } from './burstwords.js';
+import { BurstMessages } from './burstwords.js';
 
 type Hooks = { view: () => View | null; read: () => CoreState | null };
 
@@ -13,9 +13,9 @@
 });
 
 /** Where bursts are read, at the tail under its lease alone, as the charter is. */
-export const BurstDesk = {
+export const BurstService = {
   make(post: PostBox, h: Hooks): void {
-    post.on('core.burst', BurstWords.read, (body) => {
+    post.on('core.burst', BurstMessages.readRequest, (body) => {
       const s = h.read();
       if (!s) return { ok: false, view: h.view(), list: [], burst: null };
       const all = s.bursts ?? [],
--- a/packages/registry/src/lending/burstrule.ts
+++ b/packages/registry/src/lending/burstrule.ts
@@ -3,9 +3,9 @@
 import type { BurstSpec } from './burstspec.js';
 
 /** Whether a burst may begin: the charter in force lets its rule borrow, or it is held, and is only said again. */
-export const BurstRule = {
-  may: (s: CoreState | null, spec: Pick<BurstSpec, 'key' | 'rule'>): boolean =>
+export const BurstAdmission = {
+  mayBegin: (s: CoreState | null, spec: Pick<BurstSpec, 'key' | 'rule'>): boolean =>
     s?.bursts?.some((b) => b.spec.key === spec.key) === true ||
     Intents.charter(s?.charter?.body)?.lending?.rules.includes(spec.rule) === true,
-  no: (rule: string): Verdict => Verdicts.not('notlent', `The charter in force lets no bursts of ${rule} borrow.`),
+  refusal: (rule: string): Verdict => Verdicts.not('notlent', `The charter in force lets no bursts of ${rule} borrow.`),
 };
--- a/packages/registry/src/lending/bursts.test.ts
+++ b/packages/registry/src/lending/bursts.test.ts
@@ -4,7 +4,7 @@
 import { Apply } from '../state/apply.js';
 import { CoreState } from '../state/corestate.js';
 import type { BurstCommand } from './burstcommand.js';
-import { BurstRule } from './burstrule.js';
+import { BurstAdmission } from './burstrule.js';
 import { Bursts } from './bursts.js';
 import { BurstSummary } from './burstsummary.js';
 import { Shards } from './shards.js';
@@ -138,9 +138,9 @@
   });
   it('may be said again also where the charter lets its rule borrow no more', () => {
     const held = Apply.one(Apply.one(Apply.empty, lease('e1')).state, begin()).state;
-    expect(BurstRule.may(held, spec())).to.equal(true);
-    expect(BurstRule.may(held, spec('other'))).to.equal(false);
-    expect(BurstRule.may(Apply.empty, spec())).to.equal(false);
-    expect(BurstRule.may(null, spec())).to.equal(false);
+    expect(BurstAdmission.mayBegin(held, spec())).to.equal(true);
+    expect(BurstAdmission.mayBegin(held, spec('other'))).to.equal(false);
+    expect(BurstAdmission.mayBegin(Apply.empty, spec())).to.equal(false);
+    expect(BurstAdmission.mayBegin(null, spec())).to.equal(false);
   });
 });
--- a/packages/registry/src/lending/bursts.ts
+++ b/packages/registry/src/lending/bursts.ts
@@ -17,7 +17,7 @@
 
 /** What each command does to the bursts that the core keeps. Pure, as all of the core's rulings. */
 export const Bursts = {
-  over,
+  over: over,
   apply(bursts: readonly Burst[], leases: Leases, c: Command): Done {
     const no = (code: string, why: string): Done => ({ bursts, verdict: Verdicts.not(code, why) });
     const yes = (code: string, why: string): Done => ({ bursts, verdict: Verdicts.ran(code, why) });
--- a/packages/registry/src/lending/burstsummary.ts
+++ b/packages/registry/src/lending/burstsummary.ts
@@ -21,7 +21,7 @@
 
 /** A burst in counts. */
 export const BurstSummary = {
-  form: Form,
+  schema: Form,
   of(b: Burst): Static<typeof Form> {
     const n = (state: string): number => b.generations.filter((g) => g.state === state).length;
     return {
--- a/packages/registry/src/lending/burstwords.ts
+++ b/packages/registry/src/lending/burstwords.ts
@@ -6,13 +6,13 @@
 const shut = { additionalProperties: false } as const;
 
 /** The forms of reading bursts at the tail. */
-export const BurstWords = {
-  read: Type.Object({ key: Type.Optional(Type.String()), texts: Type.Optional(Type.Boolean()) }, shut),
-  told: Type.Object(
+export const BurstMessages = {
+  readRequest: Type.Object({ key: Type.Optional(Type.String()), texts: Type.Optional(Type.Boolean()) }, shut),
+  readReply: Type.Object(
     {
       ok: Type.Boolean(),
       view: Type.Union([View, Type.Null()]),
-      list: Type.Array(BurstSummary.form),
+      list: Type.Array(BurstSummary.schema),
       burst: Type.Union([Burst, Type.Null()]),
     },
     shut,
--- a/packages/registry/src/membership/addressbook.ts
+++ b/packages/registry/src/membership/addressbook.ts
@@ -23,18 +23,18 @@
     let next = 0;
     const note = (m: Member): void => known.set(key(m), m.addr, KEEP);
     return {
-      note,
+      note: note,
       /** Where it last said that it is; else where the view has it. */
-      of: (m: Member): string => known.get(key(m)) ?? m.addr,
+      addressOf: (m: Member): string => known.get(key(m)) ?? m.addr,
       /** Asks at all addresses where cores may be who is there now, once a second at the most. */
       async search(view: View): Promise<void> {
         if (world.clock.mono() < next) return;
-        next = world.clock.mono() + CoreTimings.search;
+        next = world.clock.mono() + CoreTimings.addressSearchIntervalMs;
         const addrs = new Set([...cores(), ...Views.all(view).map((m) => m.addr)]);
         addrs.delete(me().addr);
         await Promise.all(
           [...addrs].map(async (a) => {
-            const r = await post.ask(a, '', 'core.look', {}, CoreMessages.seen, CoreTimings.ask);
+            const r = await post.ask(a, '', 'core.look', {}, CoreMessages.seen, CoreTimings.requestTimeoutMs);
             if (r.ok) note(r.val.me);
           }),
         );
--- a/packages/registry/src/membership/failuredetector.test.ts
+++ b/packages/registry/src/membership/failuredetector.test.ts
@@ -33,8 +33,8 @@
     },
     async beats(ms: number): Promise<void> {
       for (const end = now + ms; now < end; now += 150) {
-        detector.seen(k1, { sick: false, fresh: true, epoch: 3 });
-        await detector.beat(VIEW, { sick: false, fresh: true });
+        detector.recordHeartbeat(k1, { sick: false, fresh: true, epoch: 3 });
+        await detector.sendHeartbeats(VIEW, { sick: false, fresh: true });
         await new Promise((done) => setImmediate(done));
       }
     },
@@ -48,12 +48,12 @@
   it('knows one that is heard and replies to no beat', async () => {
     const b = bench();
     await b.beats(600);
-    expect(b.detector.deaf(k1)).to.equal(0);
+    expect(b.detector.unansweredForMs(k1)).to.equal(0);
     b.reply(false);
     await b.beats(1500);
-    expect(b.detector.deaf(k1)).to.equal(1500);
-    expect(b.detector.deaf(k3)).to.equal(0);
-    expect(b.detector.silent(k1)).to.be.at.most(150);
+    expect(b.detector.unansweredForMs(k1)).to.equal(1500);
+    expect(b.detector.unansweredForMs(k3)).to.equal(0);
+    expect(b.detector.silentForMs(k1)).to.be.at.most(150);
   });
   it('forgets it with the first reply', async () => {
     const b = bench();
@@ -61,7 +61,7 @@
     await b.beats(1500);
     b.reply(true);
     await b.beats(150);
-    expect(b.detector.deaf(k1)).to.equal(0);
+    expect(b.detector.unansweredForMs(k1)).to.equal(0);
   });
   /**
    * A member may share its event loop with a router. However long something blocks that loop, the lease is over by the
@@ -72,9 +72,9 @@
     for (let blocked = 0; blocked <= 3000; blocked += 10) {
       const b = bench();
       await b.beats(600);
-      expect(b.detector.live(VIEW)).to.equal(true);
+      expect(b.detector.holdsLease(VIEW)).to.equal(true);
       b.sleep(blocked);
-      expect(b.detector.live(VIEW), `${blocked} ms`).to.equal(blocked + sinceBeat < CoreTimings.hold);
+      expect(b.detector.holdsLease(VIEW), `${blocked} ms`).to.equal(blocked + sinceBeat < CoreTimings.viewLeaseMs);
     }
   });
   it('counts nothing over a sleep of its own, and from a new view on afresh', async () => {
@@ -83,8 +83,8 @@
     await b.beats(1500);
     b.sleep(5000);
     await b.beats(150);
-    expect(b.detector.deaf(k1)).to.equal(150);
+    expect(b.detector.unansweredForMs(k1)).to.equal(150);
     b.detector.reset();
-    expect(b.detector.deaf(k1)).to.equal(0);
+    expect(b.detector.unansweredForMs(k1)).to.equal(0);
   });
 });
--- a/packages/registry/src/membership/failuredetector.ts
+++ b/packages/registry/src/membership/failuredetector.ts
@@ -41,16 +41,16 @@
     });
 
     return {
-      seen,
-      heard: (m: Member): Heard | undefined => heard.get(key(m)),
+      recordHeartbeat: seen,
+      lastHeartbeat: (m: Member): Heard | undefined => heard.get(key(m)),
       /** Silence, counted from the view's start for one never heard in it. */
-      silent: (m: Member): number => now() - Math.max(heard.get(key(m))?.at ?? 0, since),
+      silentForMs: (m: Member): number => now() - Math.max(heard.get(key(m))?.at ?? 0, since),
       /** For how long it has replied to no beat, however much of it is heard. */
-      deaf: (m: Member): number => now() - (vain.get(key(m)) ?? now()),
+      unansweredForMs: (m: Member): number => now() - (vain.get(key(m)) ?? now()),
       /** Whether its place was found taken by one of the same id and another life: so it is no more. */
-      emptied: (m: Member): boolean => empty.get(key(m)) === true,
+      hasLostDisk: (m: Member): boolean => empty.get(key(m)) === true,
       /** Lays down all leases, those still on their way too. */
-      rest(): void {
+      releaseLeases(): void {
         grants.clear();
         eras++;
       },
@@ -60,24 +60,31 @@
         eras++;
         since = now();
       },
-      live(view: View | null): boolean {
+      holdsLease(view: View | null): boolean {
         awake.look();
         if (!view || Views.place(view, me()) < 0) return false;
         const n = view.voters.filter((m) => (grants.get(key(m)) ?? 0) > now()).length;
         return n > view.voters.length / 2;
       },
       /** One beat to every other member that has replied to the last; gives back the newest view met so far. */
-      async beat(view: View, self: { sick: boolean; fresh: boolean }): Promise<View | null> {
+      async sendHeartbeats(view: View, self: { sick: boolean; fresh: boolean }): Promise<View | null> {
         awake.look();
         const at = now(),
           before = slept,
           era = eras,
           inside = Views.place(view, me()) >= 0;
-        if (inside && Views.votes(view, me()) && voter.grant(view.epoch, CoreTimings.hold, me()))
-          grants.set(key(me()), at + CoreTimings.hold);
+        if (inside && Views.votes(view, me()) && voter.grantLease(view.epoch, CoreTimings.viewLeaseMs, me()))
+          grants.set(key(me()), at + CoreTimings.viewLeaseMs);
         const ask = async (m: Member): Promise<void> => {
           const body = { me: me(), epoch: view.epoch, ...self };
-          const r = await post.ask(addresses.of(m), m.id, 'core.beat', body, CoreMessages.beaten, CoreTimings.ask);
+          const r = await post.ask(
+            addresses.addressOf(m),
+            m.id,
+            'core.beat',
+            body,
+            CoreMessages.beaten,
+            CoreTimings.requestTimeoutMs,
+          );
           asking.delete(key(m));
           awake.look();
           if (!r.ok) void addresses.search(view);
@@ -88,12 +95,12 @@
           if (r.val.me.id === m.id && r.val.me.born !== m.born) empty.set(key(m), true, KEEP);
           if (!Views.same(r.val.me, m)) return;
           seen(m, { sick: r.val.sick, fresh: r.val.fresh, epoch: r.val.view?.epoch ?? 0 });
-          if (r.val.claim && Views.votes(view, m) && era === eras) grants.set(key(m), at + CoreTimings.hold);
+          if (r.val.claim && Views.votes(view, m) && era === eras) grants.set(key(m), at + CoreTimings.viewLeaseMs);
           if (r.val.view && r.val.view.epoch > (best?.epoch ?? 0)) best = r.val.view;
         };
         const due = Views.all(view).filter((m) => !Views.same(m, me()) && !asking.has(key(m)));
         for (const m of due) asking.add(key(m));
-        await Promise.race([Promise.all(due.map(ask)), Timer.nap(world.clock, CoreTimings.beat)]);
+        await Promise.race([Promise.all(due.map(ask)), Timer.nap(world.clock, CoreTimings.heartbeatIntervalMs)]);
         return best;
       },
     };
--- a/packages/registry/src/membership/livedaemons.ts
+++ b/packages/registry/src/membership/livedaemons.ts
@@ -12,7 +12,7 @@
   make(clock: Clock) {
     let seen: ReadonlyMap<string, Seen> = new Map();
     let since = clock.mono();
-    const live = (): Seen[] => [...seen.values()].filter((s) => clock.mono() - s.at < CoreTimings.gone);
+    const live = (): Seen[] => [...seen.values()].filter((s) => clock.mono() - s.at < CoreTimings.daemonExpiryMs);
     return {
       reset(): void {
         seen = new Map();
@@ -23,20 +23,20 @@
         next.set(who.id, { who, version, sum, load, at: clock.mono() });
         seen = next;
       },
-      leave(id: string): void {
+      remove(id: string): void {
         const next = new Map(seen);
         next.delete(id);
         seen = next;
       },
       roster: (): Ident[] | null =>
-        clock.mono() - since < CoreTimings.gone
+        clock.mono() - since < CoreTimings.daemonExpiryMs
           ? null
           : live()
               .map((s) => s.who)
               .sort((a, b) => (a.id < b.id ? -1 : 1)),
       load: (): Load =>
         live().reduce((a, s) => ({ read: a.read + s.load.read, write: a.write + s.load.write }), { read: 0, write: 0 }),
-      all: () =>
+      withAges: () =>
         [...seen.values()].map((s) => ({ who: s.who, version: s.version, sum: s.sum, age: clock.mono() - s.at })),
     };
   },
--- a/packages/registry/src/membership/memberidentity.ts
+++ b/packages/registry/src/membership/memberidentity.ts
@@ -6,7 +6,7 @@
   async born(world: World, store: Store, kept: string | null): Promise<Result<string, string>> {
     if (kept !== null) return Ok(kept);
     const born = Dice.word(world.chance);
-    const done = await store.name(born, true);
+    const done = await store.saveIdentity(born, true);
     return done.err ? done : Ok(born);
   },
 };
--- a/packages/registry/src/membership/repairtask.test.ts
+++ b/packages/registry/src/membership/repairtask.test.ts
@@ -43,7 +43,7 @@
     task,
     proposed,
     mind(v: View, ms: number): void {
-      for (; at < ms; at += 150) task.mind(v);
+      for (; at < ms; at += 150) task.checkMembers(v);
     },
   };
 };
@@ -108,11 +108,11 @@
       [['k1'], 'k2 k3 | k3 | k1'],
     ] as const) {
       const r = repairing('k2', { silent });
-      r.task.takeOver(alone);
+      r.task.takeOverFromReserve(alone);
       expect(text(r.proposed[0])).to.equal(want);
     }
     const other = repairing('k3', { silent: ['k1'] });
-    other.task.takeOver(alone);
+    other.task.takeOverFromReserve(alone);
     expect(other.proposed, 'one that is not of the reserve').to.deep.equal([]);
   });
   it('leaves in good order only where enough complete members remain', async () => {
--- a/packages/registry/src/membership/repairtask.ts
+++ b/packages/registry/src/membership/repairtask.ts
@@ -8,9 +8,9 @@
 import { Views } from '../consensus/views.js';
 
 /** ms without a lease, though all are heard, after which the view is made anew. */
-const LAME = 2 * CoreTimings.suspect;
+const LAME = 2 * CoreTimings.suspectAfterMs;
 /** ms for which a member that is heard may leave our beats without a reply: what is sent to it is lost. */
-const DEAF = 2 * CoreTimings.suspect;
+const DEAF = 2 * CoreTimings.suspectAfterMs;
 
 /**
  * What a member of the chain that votes does about the others: those that are silent, deaf or sick go out of the
@@ -22,42 +22,45 @@
 export const RepairTask = {
   make(me: () => Member, mono: () => number, detector: FailureDetector, viewChanger: ViewChanger, chain: Chain) {
     const mine = (m: Member): boolean => Views.same(m, me());
-    const unwell = (m: Member): boolean => detector.heard(m)?.sick === true || detector.emptied(m);
+    const unwell = (m: Member): boolean => detector.lastHeartbeat(m)?.sick === true || detector.hasLostDisk(m);
     /** One that a majority does not reply to is cut off itself, and can't tell who else is. */
     const replied = (v: View): boolean =>
-      v.voters.filter((m) => mine(m) || detector.deaf(m) < CoreTimings.suspect).length >= Views.most(v);
+      v.voters.filter((m) => mine(m) || detector.unansweredForMs(m) < CoreTimings.suspectAfterMs).length >=
+      Views.most(v);
     const late = (v: View, m: Member, turn: number): boolean =>
-      detector.silent(m) > CoreTimings.suspect + turn || (detector.deaf(m) > DEAF + turn && replied(v));
+      detector.silentForMs(m) > CoreTimings.suspectAfterMs + turn ||
+      (detector.unansweredForMs(m) > DEAF + turn && replied(v));
     const gone = (v: View, m: Member): boolean => unwell(m) || late(v, m, 0);
     const isFresh = (v: View, m: Member): boolean => {
-      const h = detector.heard(m);
+      const h = detector.lastHeartbeat(m);
       return h?.fresh === true && h.epoch === v.epoch;
     };
     /** Members without a vote that hold all of this view. */
     const caught = (v: View): Member[] => v.chain.filter((m) => !mine(m) && !Views.votes(v, m) && isFresh(v, m));
     const known = (v: View) => ({
       fresh: (m: Member): boolean => (mine(m) ? chain.fresh() : isFresh(v, m)),
-      emptied: (m: Member): boolean => detector.emptied(m),
+      emptied: (m: Member): boolean => detector.hasLostDisk(m),
     });
     const propose = (v: View, next: View | null, why: string): void => {
       if (next) void viewChanger.propose(v.voters, next, why);
     };
     /** A member of the reserve as the head, if one is heard and all complete members of the chain are away. */
     const promotion = (v: View, away: readonly Member[]): View | null => {
-      const heard = (m: Member): boolean => mine(m) || (detector.silent(m) < CoreTimings.suspect && !unwell(m));
+      const heard = (m: Member): boolean =>
+        mine(m) || (detector.silentForMs(m) < CoreTimings.suspectAfterMs && !unwell(m));
       const heir = (v.reserve ?? []).find(heard);
       return heir ? NextViews.promoting(v, heir, away, known(v)) : null;
     };
     const shorten = (v: View, list: readonly Member[]): void => {
-      const up = v.voters.filter((m) => mine(m) || detector.silent(m) < CoreTimings.suspect);
+      const up = v.voters.filter((m) => mine(m) || detector.silentForMs(m) < CoreTimings.suspectAfterMs);
       const turn = up.findIndex(mine) * 300;
       const due = list.find((m) => unwell(m) || late(v, m, turn));
       if (!due) return;
-      const how = detector.heard(due)?.sick
+      const how = detector.lastHeartbeat(due)?.sick
         ? 'sick'
-        : detector.emptied(due)
+        : detector.hasLostDisk(due)
           ? 'emptied'
-          : detector.silent(due) > CoreTimings.suspect
+          : detector.silentForMs(due) > CoreTimings.suspectAfterMs
             ? 'silent'
             : 'deaf';
       const why = `${list.map((m) => m.id).join(', ')}: ${how}.`;
@@ -71,13 +74,13 @@
         if (old) return { heir, old };
       }
       const named = (x: Member): boolean => v.chain.some((m) => m.id === x.id);
-      const old = v.voters.find((x) => !mine(x) && !named(x) && detector.silent(x) > CoreTimings.suspect);
+      const old = v.voters.find((x) => !mine(x) && !named(x) && detector.silentForMs(x) > CoreTimings.suspectAfterMs);
       return list[0] && old ? { heir: list[0], old } : null;
     };
     let since: number | null = null;
     const renew = (v: View): void => {
       const turn = v.voters.findIndex(mine) * 300;
-      if (detector.live(v)) since = null;
+      if (detector.holdsLease(v)) since = null;
       else since ??= mono();
       if (since === null || mono() - since <= LAME + turn) return;
       since = null;
@@ -92,15 +95,15 @@
     };
     return {
       /** The view in which a member that asks to join stands at the tail; null if there is none. */
-      joined: (v: View, m: Member): View | null => NextViews.withTail(v, m, known(v)),
+      viewWithNewcomer: (v: View, m: Member): View | null => NextViews.withTail(v, m, known(v)),
       /** What a member of the reserve does: it becomes the head once the whole chain that could lead is away. */
-      takeOver(v: View): void {
-        if (viewChanger.busy() || !Views.votes(v, me()) || !Views.reserved(v, me())) return;
+      takeOverFromReserve(v: View): void {
+        if (viewChanger.isBusy() || !Views.votes(v, me()) || !Views.isInReserve(v, me())) return;
         const away = v.chain.filter((m) => gone(v, m));
         propose(v, promotion(v, away), `${me().id} leads from the reserve.`);
       },
-      mind(v: View): void {
-        if (viewChanger.busy() || !Views.votes(v, me())) return;
+      checkMembers(v: View): void {
+        if (viewChanger.isBusy() || !Views.votes(v, me())) return;
         const mates = v.chain.filter((m) => !mine(m));
         const list = mates.filter((m) => gone(v, m));
         if (list.length > 0) {
@@ -108,7 +111,7 @@
           return;
         }
         renew(v);
-        if (viewChanger.busy()) return;
+        if (viewChanger.isBusy()) return;
         const hand = handing(v);
         if (hand) {
           const why = `${hand.heir.id} has caught up and votes.`;
@@ -116,12 +119,12 @@
           return;
         }
         complete(v);
-        if (viewChanger.busy()) return;
+        if (viewChanger.isBusy()) return;
         const behind = mates.some((m) => {
-          const h = detector.heard(m);
+          const h = detector.lastHeartbeat(m);
           return h && !h.fresh && h.epoch === v.epoch;
         });
-        if (Views.same(Views.head(v), me()) && behind) chain.remend();
+        if (Views.same(Views.head(v), me()) && behind) chain.resync();
       },
       /** Proposes the view without this daemon; its vote goes along if there is one to take it. */
       async leave(v: View): Promise<boolean> {
--- a/packages/registry/src/registrar.ts
+++ b/packages/registry/src/registrar.ts
@@ -54,7 +54,7 @@
       shelf,
       settings.tunes,
       seeds,
-      (): readonly Ident[] => [...Views.idents(core.view()), ...core.desk.live(), ...(settings.known?.() ?? [])],
+      (): readonly Ident[] => [...Views.idents(core.view()), ...core.service.live(), ...(settings.known?.() ?? [])],
     );
     const cores = (): string[] => [
       ...new Set([
@@ -91,7 +91,7 @@
       ident,
       core,
       purge,
-      shelf,
+      shelf: shelf,
       post,
       /** Reads and writes as any other daemon does; the head or the tail may be this one. */
       line: ControlClient.make(world, post, cores, core.view),
--- a/packages/registry/src/service/coredesk.ts
+++ b/packages/registry/src/service/coredesk.ts
@@ -1,8 +1,8 @@
 import { Clauses, Verdicts, type PostBox, type World } from '@pumicebarrow/forms';
-import { Leases } from '../duties/leases.js';
+import { NamedLeases } from '../duties/leases.js';
 import { CoreMessages } from './coremessages.js';
-import { BurstDesk } from '../lending/burstdesk.js';
-import { BurstRule } from '../lending/burstrule.js';
+import { BurstService } from '../lending/burstdesk.js';
+import { BurstAdmission } from '../lending/burstrule.js';
 import type { Chain } from '../chain/chain.js';
 import { CoreTimings } from '../coretimings.js';
 import { LiveDaemons } from '../membership/livedaemons.js';
@@ -17,10 +17,10 @@
 };
 
 /** Where other daemons come to the core: commands and check-ins at the head, reading at the tail, the view anywhere. */
-export const CoreDesk = {
+export const CoreService = {
   make(world: World, post: PostBox, h: Hooks) {
     const roll = LiveDaemons.make(world.clock);
-    const leases = Leases.make(world.clock, h.chain, h.live);
+    const leases = NamedLeases.make(world.clock, h.chain, h.live);
     let head = false;
 
     post.on('core.write', CoreMessages.write, async (body) => {
@@ -30,9 +30,9 @@
         if (faults.length > 0) return { ruling: { verdict: Verdicts.bad(faults) }, term: 0, view: h.view() };
       }
       if (!head || !h.live()) return { ruling: null, term: 0, view: h.view() };
-      if (c.do === 'begin' && h.chain.ready() && !BurstRule.may(h.chain.passed(), c.spec))
-        return { ruling: { verdict: BurstRule.no(c.spec.rule) }, term: 0, view: h.view() };
-      const ruling = c.do === 'claim' ? await leases.take(c.name, c.id, c.born) : await h.chain.write(c);
+      if (c.do === 'begin' && h.chain.isReady() && !BurstAdmission.mayBegin(h.chain.passed(), c.spec))
+        return { ruling: { verdict: BurstAdmission.refusal(c.spec.rule) }, term: 0, view: h.view() };
+      const ruling = c.do === 'claim' ? await leases.acquire(c.name, c.id, c.born) : await h.chain.write(c);
       return { ruling, term: c.do === 'claim' && ruling.fence !== undefined ? CoreTimings.lease : 0, view: h.view() };
     });
     post.on('core.read', CoreMessages.read, (body) => {
@@ -41,7 +41,7 @@
       const plan = body.plan === undefined ? null : (s.plans.find((p) => p.id === body.plan) ?? null);
       return { ok: true, view: h.view(), charter: s.charter, plan };
     });
-    BurstDesk.make(post, { view: h.view, read: () => (h.isTail() && h.live() ? h.chain.passed() : null) });
+    BurstService.make(post, { view: h.view, read: () => (h.isTail() && h.live() ? h.chain.passed() : null) });
     post.on('core.checkin', CoreMessages.checkin, (body, from) => {
       const ok = head && h.live();
       if (ok) roll.note(from, body.version, body.sum, body.load);
@@ -54,19 +54,22 @@
       };
     });
     post.on('core.leave', CoreMessages.leave, (body, from) => {
-      for (const n of body.names) leases.yield(n, from.id, from.born);
-      roll.leave(from.id);
+      for (const n of body.names) leases.release(n, from.id, from.born);
+      roll.remove(from.id);
       return { ok: true };
     });
-    post.on('core.roll', CoreMessages.look, () => ({ view: h.view(), roster: head && h.live() ? roll.all() : [] }));
+    post.on('core.roll', CoreMessages.look, () => ({
+      view: h.view(),
+      roster: head && h.live() ? roll.withAges() : [],
+    }));
 
     return {
       live: () => roll.roster() ?? [],
-      moved(): void {
+      onViewChange(): void {
         const mine = h.isHead();
         if (!head || !mine) roll.reset();
         head = mine;
-        leases.moved();
+        leases.onViewChange();
       },
     };
   },
--- a/packages/registry/src/service/coremessages.ts
+++ b/packages/registry/src/service/coremessages.ts
@@ -5,7 +5,7 @@
 import { StateChange } from '../state/statechange.js';
 import { Member } from '../membership/member.js';
 import { Plan } from '../state/plan.js';
-import { Ruling } from '../chain/ruling.js';
+import { CommandResult } from '../chain/ruling.js';
 import { View } from '../consensus/view.js';
 import { Vote } from '../consensus/vote.js';
 
@@ -39,7 +39,10 @@
   change: Type.Object({ epoch: Type.Integer(), change: StateChange }, shut),
   changed: Type.Object({ ok: Type.Boolean(), lacking: Type.Boolean() }, shut),
   write: Type.Object({ command: Command }, shut),
-  written: Type.Object({ ruling: Type.Union([Ruling, Type.Null()]), term: Type.Number(), view: maybeView }, shut),
+  written: Type.Object(
+    { ruling: Type.Union([CommandResult, Type.Null()]), term: Type.Number(), view: maybeView },
+    shut,
+  ),
   read: Type.Object({ plan: Type.Optional(Type.String()) }, shut),
   readout: Type.Object(
     {
--- a/packages/registry/src/service/tracedesk.ts
+++ b/packages/registry/src/service/tracedesk.ts
@@ -21,7 +21,7 @@
 /** Where a daemon tells what it holds and how that came to be. */
 export const TraceDesk = {
   forms: {
-    ask: Type.Object({ name: Type.Optional(Type.String()) }, shut),
+    request: Type.Object({ name: Type.Optional(Type.String()) }, shut),
     told: Type.Object(
       {
         who: Ident,
@@ -36,7 +36,7 @@
     ),
   },
   make(post: PostBox, self: () => Ident, purge: Purging, shelf: Holding, sure: () => boolean): void {
-    post.on('trace.tell', TraceDesk.forms.ask, (body) => ({
+    post.on('trace.tell', TraceDesk.forms.request, (body) => ({
       who: self(),
       sure: sure(),
       marks: [...shelf.table().values()]
--- a/packages/registry/src/state/apply.ts
+++ b/packages/registry/src/state/apply.ts
@@ -3,9 +3,9 @@
 import type { CoreState } from './corestate.js';
 import { Bursts } from '../lending/bursts.js';
 import type { Plan } from './plan.js';
-import type { Ruling } from '../chain/ruling.js';
+import type { CommandResult } from '../chain/ruling.js';
 
-type Done = { state: CoreState; ruling: Ruling };
+type Done = { state: CoreState; ruling: CommandResult };
 const KEEP = 200;
 const OPEN = 32;
 
@@ -64,7 +64,7 @@
       }
       case 'replace': {
         const revision = Intents.revision(state.charter?.body);
-        const won = (version: number): Ruling => ({
+        const won = (version: number): CommandResult => ({
           verdict: Verdicts.ran('confirmed', `Replacement ${c.id} is version ${version}.`),
           version,
           fate: 'won',
--- a/packages/registry/src/state/store.ts
+++ b/packages/registry/src/state/store.ts
@@ -42,7 +42,7 @@
     return {
       put,
       /** How long the longest write under way has taken. */
-      stalled(): number {
+      longestPendingWriteMs(): number {
         const at = Math.min(...started.values());
         return started.size === 0 ? 0 : world.clock.mono() - at;
       },
@@ -73,7 +73,7 @@
         });
       },
       /** Says who this daemon is. Invariant: not before there is a file of every other kind. */
-      async name(born: string, fresh: boolean): Promise<Result<void, string>> {
+      async saveIdentity(born: string, fresh: boolean): Promise<Result<void, string>> {
         for (const [kind, v] of fresh
           ? ([
               ['view', null],
