--- a/packages/registry/src/chain/chain.ts
+++ b/packages/registry/src/chain/chain.ts
@@ -13,13 +13,13 @@
 import type { View } from '../consensus/view.js';
 import { Views } from '../consensus/views.js';
 
-type Wait = { command: Command; done: (r: CommandResult) => void };
+type PendingCommand = { command: Command; reply: (r: CommandResult) => void };
 type Hooks = {
   view: () => View | null;
-  live: () => boolean;
+  holdsLease: () => boolean;
   me: () => Member;
-  ill: (why: string) => void;
-  passed: (s: CoreState) => void;
+  onDiskFault: (why: string) => void;
+  onCommitted: (s: CoreState) => void;
 };
 
 /**
@@ -29,66 +29,66 @@
  * a command is refused with 'no' only if no version that carries its effect was ever begun.
  */
 export const Chain = {
-  make(world: World, post: PostBox, store: Store, kept: CoreState, hooks: Hooks) {
-    let state = kept;
-    let passed: CoreState | null = null;
-    let fresh = 0;
-    let ready = 0;
-    let busy = false;
-    let held: Wait[] = [];
-    let lock: Promise<unknown> = Promise.resolve();
-    let turn: () => void = () => undefined;
-    let turned = new Promise<null>((done) => {
-      turn = () => done(null);
+  make(world: World, post: PostBox, store: Store, restored: CoreState, hooks: Hooks) {
+    let state = restored;
+    let committed: CoreState | null = null;
+    let syncedEpoch = 0;
+    let readyEpoch = 0;
+    let draining = false;
+    let queue: PendingCommand[] = [];
+    let lastOperation: Promise<unknown> = Promise.resolve();
+    let signalViewChange: () => void = () => undefined;
+    let viewChanged = new Promise<null>((done) => {
+      signalViewChange = () => done(null);
     });
     const changes = StateChanges.make();
     const handover = StateTransfer.make(post, changes);
     const log = world.log('chain');
-    const alone = <T>(fn: () => Promise<T>): Promise<T> => {
-      const next = lock.then(fn, fn);
-      lock = next;
+    const exclusively = <T>(operation: () => Promise<T>): Promise<T> => {
+      const next = lastOperation.then(operation, operation);
+      lastOperation = next;
       return next;
     };
-    const save = async (next: CoreState): Promise<boolean> => {
-      const same = next === state || (next.seq === state.seq && StateDigest.of(next) === StateDigest.of(state));
-      if (!same) {
-        const done = await store.put('state', next);
-        if (done.err) {
-          hooks.ill(done.val);
+    const persist = async (next: CoreState): Promise<boolean> => {
+      const unchanged = next === state || (next.seq === state.seq && StateDigest.of(next) === StateDigest.of(state));
+      if (!unchanged) {
+        const written = await store.put('state', next);
+        if (written.err) {
+          hooks.onDiskFault(written.val);
           return false;
         }
       }
       state = next;
       return true;
     };
-    const pass = (s: CoreState): void => {
-      passed = s;
-      hooks.passed(s);
+    const commit = (newState: CoreState): void => {
+      committed = newState;
+      hooks.onCommitted(newState);
     };
     /** Hands the version down; true when the tail holds it. */
-    const down = async (view: View, s: CoreState): Promise<boolean> => {
-      const place = Views.place(view, hooks.me()),
-        next = view.chain[place + 1];
-      if (place < 0) return false;
+    const forward = async (view: View, newState: CoreState): Promise<boolean> => {
+      const position = Views.place(view, hooks.me()),
+        next = view.chain[position + 1];
+      if (position < 0) return false;
       if (next) {
-        const given = await Promise.race([turned, handover.send(next, view.epoch, s)]);
-        if (!given) return false;
+        const delivered = await Promise.race([viewChanged, handover.send(next, view.epoch, newState)]);
+        if (!delivered) return false;
       }
       if (hooks.view()?.epoch !== view.epoch) return false;
       // With too few copies it could still be lost, so it is neither shown nor confirmed.
-      if (ChainRules.enough(view)) pass(s);
+      if (ChainRules.enough(view)) commit(newState);
       return true;
     };
-    const isHead = (v: View | null): v is View => !!v && Views.same(Views.head(v), hooks.me());
-    const able = (): string | null => {
-      const v = hooks.view();
-      if (!isHead(v)) return 'This daemon is not the head.';
-      if (!hooks.live()) return 'The core has no live lease on its view.';
-      if (ready !== v.epoch) return 'The chain is being mended.';
-      if (!ChainRules.enough(v)) return 'The chain has too few copies.';
+    const isHead = (view: View | null): view is View => !!view && Views.same(Views.head(view), hooks.me());
+    const whyNotReady = (): string | null => {
+      const view = hooks.view();
+      if (!isHead(view)) return 'This daemon is not the head.';
+      if (!hooks.holdsLease()) return 'The core has no live lease on its view.';
+      if (readyEpoch !== view.epoch) return 'The chain is being mended.';
+      if (!ChainRules.enough(view)) return 'The chain has too few copies.';
       return null;
     };
-    const begun = (next: CoreState): void =>
+    const recordWriteStart = (next: CoreState): void =>
       world.tell({
         what: 'write',
         seq: next.seq,
@@ -96,100 +96,100 @@
         plan: next.charter?.plan ?? '',
       });
     /** One batch becomes one version, and goes down the chain. */
-    const one = async (batch: readonly Wait[]): Promise<void> => {
-      const why = able(),
+    const processBatch = async (batch: readonly PendingCommand[]): Promise<void> => {
+      const reason = whyNotReady(),
         view = hooks.view();
-      if (why !== null || !view) {
-        Batch.refuse(batch, why ?? 'No view.');
+      if (reason !== null || !view) {
+        Batch.refuse(batch, reason ?? 'No view.');
         return;
       }
-      const { next, out } = Batch.apply(state, batch);
-      if (next !== state) begun(next);
-      const good = (await save(next)) && (await down(view, next)) && hooks.live();
-      Batch.reply(out, good);
-      if (good) return;
-      ready = 0;
-      void mend();
+      const { next, ruled: ruled } = Batch.apply(state, batch);
+      if (next !== state) recordWriteStart(next);
+      const succeeded = (await persist(next)) && (await forward(view, next)) && hooks.holdsLease();
+      Batch.reply(ruled, succeeded);
+      if (succeeded) return;
+      readyEpoch = 0;
+      void resyncChain();
     };
-    const work = async (): Promise<void> => {
-      if (busy) return;
-      busy = true;
-      while (held.length > 0) {
-        const batch = held;
-        held = [];
-        await alone(() => one(batch));
+    const drainQueue = async (): Promise<void> => {
+      if (draining) return;
+      draining = true;
+      while (queue.length > 0) {
+        const batch = queue;
+        queue = [];
+        await exclusively(() => processBatch(batch));
       }
-      busy = false;
+      draining = false;
     };
     /** After a new view, or a break: the head sends all it holds down the chain until the tail has it. */
-    const mend = async (): Promise<void> => {
+    const resyncChain = async (): Promise<void> => {
       const view = hooks.view();
-      while (view && hooks.view()?.epoch === view.epoch && isHead(view) && ready !== view.epoch) {
-        await alone(async () => {
+      while (view && hooks.view()?.epoch === view.epoch && isHead(view) && readyEpoch !== view.epoch) {
+        await exclusively(async () => {
           if (hooks.view()?.epoch !== view.epoch) return;
-          if (await down(view, state)) {
-            ready = view.epoch;
-            fresh = view.epoch;
+          if (await forward(view, state)) {
+            readyEpoch = view.epoch;
+            syncedEpoch = view.epoch;
           }
         });
-        if (ready !== view.epoch) await Timer.nap(world.clock, 200);
+        if (readyEpoch !== view.epoch) await Timer.nap(world.clock, 200);
       }
     };
 
     /** Takes in the version that the member above hands down, and hands it on; false unless the tail has it. */
-    const take = async (epoch: number, from: Ident, next: CoreState): Promise<boolean> => {
+    const receive = async (epoch: number, from: Ident, next: CoreState): Promise<boolean> => {
       const view = hooks.view();
-      const held = { fresh, seq: state.seq };
+      const held = { fresh: syncedEpoch, seq: state.seq };
       if (!view || !ChainRules.takes(view, hooks.me(), from, epoch, held, next.seq)) return false;
-      if (!(await save(next))) return false;
-      fresh = view.epoch;
-      return down(view, next);
+      if (!(await persist(next))) return false;
+      syncedEpoch = view.epoch;
+      return forward(view, next);
     };
     post.on('core.push', CoreMessages.push, (body, from) =>
-      alone(async () => ({ ok: await take(body.epoch, from, body.state) })),
+      exclusively(async () => ({ ok: await receive(body.epoch, from, body.state) })),
     );
     post.on('core.change', CoreMessages.change, (body, from) =>
-      alone(async () => {
+      exclusively(async () => {
         const next = changes.apply(state, body.change);
-        return next ? { ok: await take(body.epoch, from, next), lacking: false } : { ok: false, lacking: true };
+        return next ? { ok: await receive(body.epoch, from, next), lacking: false } : { ok: false, lacking: true };
       }),
     );
 
     return {
       state: (): CoreState => state,
-      passed: (): CoreState | null => passed,
-      isReady: (): boolean => able() === null,
-      fresh: (): boolean => fresh === hooks.view()?.epoch,
-      backlog: (): number => held.length,
+      passed: (): CoreState | null => committed,
+      isReady: (): boolean => whyNotReady() === null,
+      fresh: (): boolean => syncedEpoch === hooks.view()?.epoch,
+      backlog: (): number => queue.length,
       write: (command: Command): Promise<CommandResult> =>
         new Promise((done) => {
-          const why = able();
-          if (why !== null) {
-            done({ verdict: Verdicts.not('unready', why, 1) });
+          const reason = whyNotReady();
+          if (reason !== null) {
+            done({ verdict: Verdicts.not('unready', reason, 1) });
             return;
           }
-          if (held.length >= 256) {
+          if (queue.length >= 256) {
             done({ verdict: Verdicts.not('full', 'Too many commands wait.', 1) });
             return;
           }
-          held = [...held, { command, done }];
-          void work();
+          queue = [...queue, { command, reply: done }];
+          void drainQueue();
         }),
       onViewChange(): void {
-        passed = null;
-        turn();
-        turned = new Promise<null>((done) => {
-          turn = () => done(null);
+        committed = null;
+        signalViewChange();
+        viewChanged = new Promise<null>((done) => {
+          signalViewChange = () => done(null);
         });
         const { seq, charter } = state;
         log.say(`Chain of view ${hooks.view()?.epoch ?? 0}; holding ${seq}, configuration ${charter?.version ?? 0}.`);
-        void mend();
+        void resyncChain();
       },
       /** A member below has lost its place, or holds nothing of this view yet. */
       resync(): void {
-        if (ready !== 0) {
-          ready = 0;
-          void mend();
+        if (readyEpoch !== 0) {
+          readyEpoch = 0;
+          void resyncChain();
         }
       },
     };
--- a/packages/registry/src/chain/command.ts
+++ b/packages/registry/src/chain/command.ts
@@ -2,7 +2,7 @@
 import { Type, type Static } from 'typebox';
 import { BurstCommand } from '../lending/burstcommand.js';
 
-const shut = { additionalProperties: false } as const;
+const strict = { additionalProperties: false } as const;
 
 /** What enters at the head. */
 export const Command = Type.Union([
@@ -13,7 +13,7 @@
       base: Type.Integer({ minimum: 0 }),
       charter: Intent,
     },
-    shut,
+    strict,
   ),
   Type.Object(
     {
@@ -22,10 +22,10 @@
       base: Type.Integer({ minimum: 0, description: 'the revision in force that it is written against; 0 for none' }),
       intent: Routing,
     },
-    shut,
+    strict,
   ),
-  Type.Object({ do: Type.Literal('confirm'), id: Type.String() }, shut),
-  Type.Object({ do: Type.Literal('drop'), id: Type.String() }, shut),
+  Type.Object({ do: Type.Literal('confirm'), id: Type.String() }, strict),
+  Type.Object({ do: Type.Literal('drop'), id: Type.String() }, strict),
   Type.Object(
     {
       do: Type.Literal('claim'),
@@ -33,7 +33,7 @@
       id: Type.String(),
       born: Type.String(),
     },
-    shut,
+    strict,
   ),
   ...BurstCommand.anyOf,
 ]);
--- a/packages/registry/src/chain/controlclient.ts
+++ b/packages/registry/src/chain/controlclient.ts
@@ -8,11 +8,11 @@
 import type { View } from '../consensus/view.js';
 import { Views } from '../consensus/views.js';
 
-type Readout = Static<typeof CoreMessages.readout>;
-type Checked = Static<typeof CoreMessages.checked>;
+type ReadReply = Static<typeof CoreMessages.readReply>;
+type CheckInReply = Static<typeof CoreMessages.checkInReply>;
 /** How many a look asks, and how many of them are of the view known: one of three that is silent is not enough. */
-const LOOK = 5;
-const NEAR = 2;
+const VIEW_QUERY_TARGETS = 5;
+const KNOWN_MEMBER_TARGETS = 2;
 
 /**
  * A daemon's line to the core. Invariant: the view known here only rises in epoch;
@@ -20,32 +20,35 @@
  */
 export const ControlClient = {
   /** `own` is the view that a core daemon itself holds; that one's desk is Core's. */
-  make(world: World, post: PostBox, seeds: () => readonly string[], own?: () => View | null) {
+  make(world: World, post: PostBox, seeds: () => readonly string[], ownView?: () => View | null) {
     let view: View | null = null;
     const epoch = (): number => view?.epoch ?? 0;
-    const learn = (v: View | null): void => {
-      if (v && v.epoch > epoch()) view = v;
+    const learn = (newView: View | null): void => {
+      if (newView && newView.epoch > epoch()) view = newView;
     };
     /**
      * Asks for the view, among members of the one known before others. Over with the first word of a newer one, or soon
      * if one is known; later words are learnt all the same. So nobody that is silent holds up what another may tell.
      */
     const look = (): Promise<void> => {
-      const was = epoch();
+      const epochBefore = epoch();
       const known = view ? Views.all(view).map((m) => m.addr) : [];
-      const near = Dice.some(world.chance, known, NEAR);
-      const rest = [...new Set(seeds())].filter((a) => !known.includes(a));
-      const all = [...near, ...Dice.some(world.chance, rest, LOOK - near.length)];
-      return new Promise((done) => {
-        const asked = all.map(async (a) => {
-          const r = await post.ask(a, '', 'core.hint', {}, CoreMessages.hint, CoreTimings.requestTimeoutMs);
-          if (r.ok) learn(r.val.view);
-          if (epoch() > was) done();
+      const knownTargets = Dice.some(world.chance, known, KNOWN_MEMBER_TARGETS);
+      const otherAddresses = [...new Set(seeds())].filter((a) => !known.includes(a));
+      const targets = [
+        ...knownTargets,
+        ...Dice.some(world.chance, otherAddresses, VIEW_QUERY_TARGETS - knownTargets.length),
+      ];
+      return new Promise((resolve) => {
+        const queries = targets.map(async (addr) => {
+          const reply = await post.ask(addr, '', 'core.hint', {}, CoreMessages.viewReply, CoreTimings.requestTimeoutMs);
+          if (reply.ok) learn(reply.val.view);
+          if (epoch() > epochBefore) resolve();
         });
-        const stop = view ? world.clock.after(CoreTimings.viewQueryTimeoutMs, done) : () => undefined;
-        void Promise.all(asked).then(() => {
-          stop();
-          done();
+        const cancelTimeout = view ? world.clock.after(CoreTimings.viewQueryTimeoutMs, resolve) : () => undefined;
+        void Promise.all(queries).then(() => {
+          cancelTimeout();
+          resolve();
         });
       });
     };
@@ -53,112 +56,136 @@
      * Asks at the head or the tail until it replies as such, or until time is up; in a newer view at once. With no time
      * at all it asks once in each view.
      */
-    const reach = async <T>(
-      where: 'head' | 'tail',
-      ms: number,
-      one: (addr: string, id: string) => Promise<{ got: T | null; view: View | null }>,
+    const requestFrom = async <T>(
+      role: 'head' | 'tail',
+      timeoutMs: number,
+      attempt: (addr: string, id: string) => Promise<{ answer: T | null; view: View | null }>,
     ): Promise<T | null> => {
-      const end = world.clock.mono() + ms;
+      const deadline = world.clock.mono() + timeoutMs;
       for (;;) {
-        learn(own?.() ?? null);
+        learn(ownView?.() ?? null);
         if (!view) await look();
         if (view) {
-          const m = where === 'head' ? Views.head(view) : Views.tail(view);
-          const was = epoch();
-          const r = await one(m.addr, m.id);
-          learn(r.view);
-          if (r.got !== null) return r.got;
-          if (epoch() === was) await look();
-          if (epoch() > was && (ms === 0 || world.clock.mono() < end)) continue;
+          const member = role === 'head' ? Views.head(view) : Views.tail(view);
+          const epochBefore = epoch();
+          const outcome = await attempt(member.addr, member.id);
+          learn(outcome.view);
+          if (outcome.answer !== null) return outcome.answer;
+          if (epoch() === epochBefore) await look();
+          if (epoch() > epochBefore && (timeoutMs === 0 || world.clock.mono() < deadline)) continue;
         }
-        if (world.clock.mono() >= end) return null;
+        if (world.clock.mono() >= deadline) return null;
         await Timer.nap(world.clock, 100 + Dice.int(world.chance, 60));
       }
     };
     /** Waits for a reply, but not beyond a newer view than was known when it was asked for. */
-    const unlessMoved = <T>(job: Promise<Result<T, WireFault>>): Promise<Result<T, WireFault>> => {
-      const was = epoch();
-      return new Promise((done) => {
-        let open = true;
-        let stop: () => void = () => undefined;
-        const settle = (r: Result<T, WireFault>): void => {
-          open = false;
-          stop();
-          done(r);
+    const unlessViewChanged = <T>(request: Promise<Result<T, WireFault>>): Promise<Result<T, WireFault>> => {
+      const epochBefore = epoch();
+      return new Promise((resolve) => {
+        let pending = true;
+        let cancelCheck: () => void = () => undefined;
+        const settle = (result: Result<T, WireFault>): void => {
+          pending = false;
+          cancelCheck();
+          resolve(result);
         };
-        const peek = async (): Promise<void> => {
+        const checkView = async (): Promise<void> => {
           await look();
-          if (epoch() > was) settle(Err('lost'));
-          else if (open) wait();
+          if (epoch() > epochBefore) settle(Err('lost'));
+          else if (pending) scheduleCheck();
         };
-        const wait = (): void => {
-          stop = world.clock.after(CoreTimings.viewQueryTimeoutMs, () => void peek());
+        const scheduleCheck = (): void => {
+          cancelCheck = world.clock.after(CoreTimings.viewQueryTimeoutMs, () => void checkView());
         };
-        wait();
-        void job.then(settle);
+        scheduleCheck();
+        void request.then(settle);
       });
     };
-    if (!own) post.on('core.hint', CoreMessages.look, () => ({ view }));
+    if (!ownView) post.on('core.hint', CoreMessages.empty, () => ({ view }));
     return {
       view: (): View | null => view,
       learn: learn,
       look: look,
-      async write(command: Command, ms = 4000): Promise<{ ruling: CommandResult; term: number; sent: number }> {
-        let unsure = false;
+      async write(command: Command, timeoutMs = 4000): Promise<{ ruling: CommandResult; term: number; sent: number }> {
+        let maybeWritten = false;
         let sent = world.clock.mono();
-        const got = await reach('head', ms, async (addr, id) => {
+        const accepted = await requestFrom('head', timeoutMs, async (addr, id) => {
           sent = world.clock.mono();
-          const r = await unlessMoved(post.ask(addr, id, 'core.write', { command }, CoreMessages.written, 5000));
-          if (r.err) {
-            if (r.val === 'lost') unsure = true;
-            return { got: null, view: null };
+          const reply = await unlessViewChanged(
+            post.ask(addr, id, 'core.write', { command }, CoreMessages.writeReply, 5000),
+          );
+          if (reply.err) {
+            if (reply.val === 'lost') maybeWritten = true;
+            return { answer: null, view: null };
           }
-          const ruling = r.val.ruling;
-          const again =
+          const ruling = reply.val.ruling;
+          const retry =
             ruling === null ||
             ruling.verdict.code === 'unready' ||
             (ruling.verdict.ran === 'maybe' && ruling.verdict.code !== 'forgotten' && command.do !== 'claim');
-          if (ruling?.verdict.ran === 'maybe') unsure = true;
-          return { got: again ? null : { ruling, term: r.val.term }, view: r.val.view };
+          if (ruling?.verdict.ran === 'maybe') maybeWritten = true;
+          return { answer: retry ? null : { ruling, term: reply.val.term }, view: reply.val.view };
         });
-        if (got) return { ...got, ruling: got.ruling, sent };
-        const verdict = unsure
+        if (accepted) return { ...accepted, ruling: accepted.ruling, sent };
+        const verdict = maybeWritten
           ? Verdicts.maybe('unsure', 'The core did not say; ask for the plan to learn its fate.')
           : Verdicts.not('unready', 'The core can take no writes now.', 1);
         return { ruling: { verdict }, term: 0, sent };
       },
-      read: (plan: string | undefined, ms: number): Promise<Readout | null> =>
-        reach('tail', ms, async (addr, id) => {
-          const r = await post.ask(
+      read: (plan: string | undefined, timeoutMs: number): Promise<ReadReply | null> =>
+        requestFrom('tail', timeoutMs, async (addr, id) => {
+          const reply = await post.ask(
             addr,
             id,
             'core.read',
             plan === undefined ? {} : { plan },
-            CoreMessages.readout,
+            CoreMessages.readReply,
             CoreTimings.requestTimeoutMs,
           );
-          return r.ok ? { got: r.val.ok ? r.val : null, view: r.val.view } : { got: null, view: null };
+          return reply.ok
+            ? { answer: reply.val.ok ? reply.val : null, view: reply.val.view }
+            : { answer: null, view: null };
         }),
       /** Bursts in counts; with a key that one alone, and whole; its outcomes' texts only if they are asked for. */
       bursts: (
-        ask: Static<typeof BurstMessages.readRequest>,
-        ms: number,
+        query: Static<typeof BurstMessages.readRequest>,
+        timeoutMs: number,
       ): Promise<Static<typeof BurstMessages.readReply> | null> =>
-        reach('tail', ms, async (addr, id) => {
-          const r = await post.ask(addr, id, 'core.burst', ask, BurstMessages.readReply, CoreTimings.requestTimeoutMs);
-          return r.ok ? { got: r.val.ok ? r.val : null, view: r.val.view } : { got: null, view: null };
+        requestFrom('tail', timeoutMs, async (addr, id) => {
+          const reply = await post.ask(
+            addr,
+            id,
+            'core.burst',
+            query,
+            BurstMessages.readReply,
+            CoreTimings.requestTimeoutMs,
+          );
+          return reply.ok
+            ? { answer: reply.val.ok ? reply.val : null, view: reply.val.view }
+            : { answer: null, view: null };
         }),
-      checkin: (body: Static<typeof CoreMessages.checkin>): Promise<Checked | null> =>
-        reach('head', 0, async (addr, id) => {
-          const r = await unlessMoved(
-            post.ask(addr, id, 'core.checkin', body, CoreMessages.checked, CoreTimings.requestTimeoutMs),
+      checkin: (body: Static<typeof CoreMessages.checkIn>): Promise<CheckInReply | null> =>
+        requestFrom('head', 0, async (addr, id) => {
+          const reply = await unlessViewChanged(
+            post.ask(addr, id, 'core.checkin', body, CoreMessages.checkInReply, CoreTimings.requestTimeoutMs),
           );
-          return r.ok ? { got: r.val.ok ? r.val : null, view: r.val.view } : { got: null, view: null };
+          return reply.ok
+            ? { answer: reply.val.ok ? reply.val : null, view: reply.val.view }
+            : { answer: null, view: null };
         }),
-      readRoster: (): Promise<Static<typeof CoreMessages.roll> | null> =>
-        reach('head', 1500, async (addr, id) => {
-          const r = await post.ask(addr, id, 'core.roll', {}, CoreMessages.roll, CoreTimings.requestTimeoutMs);
-          return r.ok ? { got: r.val.roster.length > 0 ? r.val : null, view: r.val.view } : { got: null, view: null };
+      readRoster: (): Promise<Static<typeof CoreMessages.rosterReply> | null> =>
+        requestFrom('head', 1500, async (addr, id) => {
+          const reply = await post.ask(
+            addr,
+            id,
+            'core.roll',
+            {},
+            CoreMessages.rosterReply,
+            CoreTimings.requestTimeoutMs,
+          );
+          return reply.ok
+            ? { answer: reply.val.roster.length > 0 ? reply.val : null, view: reply.val.view }
+            : { answer: null, view: null };
         }),
       async leave(names: readonly string[]): Promise<void> {
         if (view)
@@ -167,7 +194,7 @@
             Views.head(view).id,
             'core.leave',
             { names },
-            CoreMessages.done,
+            CoreMessages.acknowledgement,
             CoreTimings.requestTimeoutMs,
           );
       },
--- a/packages/registry/src/chain/statehandover.ts
+++ b/packages/registry/src/chain/statehandover.ts
@@ -5,7 +5,7 @@
 import type { CoreState } from '../state/corestate.js';
 import type { StateChanges } from '../state/statechanges.js';
 
-type Held = { member: string; state: CoreState };
+type AcknowledgedState = { member: string; state: CoreState };
 
 /**
  * Hands versions to the next member of the chain: what changed against the version that it holds, or the whole state
@@ -14,30 +14,35 @@
 export const StateTransfer = {
   make(post: PostBox, changes: StateChanges) {
     /** What the next member said last that it holds. */
-    let held: Held | null = null;
-    const whole = async (to: Member, epoch: number, state: CoreState): Promise<boolean> => {
+    let acknowledged: AcknowledgedState | null = null;
+    const sendWhole = async (successor: Member, epoch: number, state: CoreState): Promise<boolean> => {
       const reply = await post.ask(
         ...([
-          to.addr,
-          to.id,
+          successor.addr,
+          successor.id,
           'core.push' as const,
           { epoch, state },
-          CoreMessages.done,
+          CoreMessages.acknowledgement,
           CoreTimings.stateTransferTimeoutMs,
         ] as const),
       );
       return reply.ok && reply.val.ok;
     };
     /** Null when it must be sent whole: the member lacks the base, or its release does not know changes. */
-    const changed = async (to: Member, epoch: number, base: CoreState, state: CoreState): Promise<boolean | null> => {
+    const sendChange = async (
+      successor: Member,
+      epoch: number,
+      base: CoreState,
+      state: CoreState,
+    ): Promise<boolean | null> => {
       const change = changes.between(base, state);
       const reply = await post.ask(
         ...([
-          to.addr,
-          to.id,
+          successor.addr,
+          successor.id,
           'core.change' as const,
           { epoch, change },
-          CoreMessages.changed,
+          CoreMessages.changeReply,
           CoreTimings.stateTransferTimeoutMs,
         ] as const),
       );
@@ -45,13 +50,13 @@
       return reply.val.lacking ? null : reply.val.ok;
     };
     return {
-      async send(to: Member, epoch: number, state: CoreState): Promise<boolean> {
-        const member = `${to.id}/${to.born}`;
+      async send(successor: Member, epoch: number, state: CoreState): Promise<boolean> {
+        const memberKey = `${successor.id}/${successor.born}`;
         // After a new view it most likely holds the same as this one does.
-        const base = held?.member === member ? held.state : state;
-        held = null;
-        const ok = (await changed(to, epoch, base, state)) ?? (await whole(to, epoch, state));
-        if (ok) held = { member, state };
+        const base = acknowledged?.member === memberKey ? acknowledged.state : state;
+        acknowledged = null;
+        const ok = (await sendChange(successor, epoch, base, state)) ?? (await sendWhole(successor, epoch, state));
+        if (ok) acknowledged = { member: memberKey, state };
         return ok;
       },
     };
--- a/packages/registry/src/consensus/bootstrap.ts
+++ b/packages/registry/src/consensus/bootstrap.ts
@@ -15,15 +15,15 @@
   addresses: AddressBook;
   /** How many machines may be lost at once. */
   losses: number;
-  cores: () => readonly string[];
+  coreAddresses: () => readonly string[];
   /** The addresses that every daemon was given at the first start. */
   seeds: () => readonly string[];
   view: () => View | null;
   /** Whether this daemon may be one of the first view. */
-  stands: () => boolean;
+  isCandidate: () => boolean;
   adopt: (v: View) => Promise<boolean>;
 };
-const LIVES = 64;
+const MAX_CANDIDATES = 64;
 
 /**
  * How the first view comes about, among candidates that know each other by a few seeds, which need not be candidates.
@@ -33,36 +33,45 @@
  * (ViewChanger). Two proposers share a seed, so the later one knows the earlier one, and asks its voters too.
  */
 export const Bootstrap = {
-  make(world: World, post: PostBox, voter: Voter, viewChanger: ViewChanger, h: Hooks) {
-    const met = Fading.make<Member>(world.clock.mono, LIVES);
+  make(world: World, post: PostBox, voter: Voter, viewChanger: ViewChanger, hooks: Hooks) {
+    const recentCandidates = Fading.make<Member>(world.clock.mono, MAX_CANDIDATES);
     /** Where candidates are that others have told of; they are asked in the next turn. */
-    let told: readonly string[] = [];
-    const note = (m: Member): void => {
-      if (m.id !== h.me().id) met.set(m.id, m, CoreTimings.candidateTtlMs);
+    let reportedAddresses: readonly string[] = [];
+    const recordCandidate = (member: Member): void => {
+      if (member.id !== hooks.me().id) recentCandidates.set(member.id, member, CoreTimings.candidateTtlMs);
     };
     /** The candidates that this one knows, itself among them; none if it is none. */
-    const known = (): Member[] => (h.stands() ? BootstrapRules.ordered([h.me(), ...met.all()]) : []);
-    post.on('core.look', CoreMessages.look, () => ({ view: h.view(), took: voter.acceptedView(), me: h.me() }));
+    const knownCandidates = (): Member[] =>
+      hooks.isCandidate() ? BootstrapRules.ordered([hooks.me(), ...recentCandidates.all()]) : [];
+    post.on('core.look', CoreMessages.empty, () => ({
+      view: hooks.view(),
+      took: voter.acceptedView(),
+      me: hooks.me(),
+    }));
     post.on('core.meet', CoreMessages.meet, (body) => {
-      note(body.me);
-      return { view: h.view(), took: voter.acceptedView(), me: h.me(), met: known() };
+      recordCandidate(body.me);
+      return { view: hooks.view(), took: voter.acceptedView(), me: hooks.me(), met: knownCandidates() };
     });
-    const ask = async <S extends TSchema>(
+    const askAll = async <S extends TSchema>(
       kind: string,
       body: unknown,
-      form: S,
+      schema: S,
     ): Promise<{ addr: string; reply: NoInfer<Static<S>> }[]> => {
-      const addrs = new Set([...h.cores(), ...told, ...met.all().map((m) => m.addr)]);
-      addrs.delete(h.me().addr);
-      const got = await Promise.all(
+      const addrs = new Set([
+        ...hooks.coreAddresses(),
+        ...reportedAddresses,
+        ...recentCandidates.all().map((m) => m.addr),
+      ]);
+      addrs.delete(hooks.me().addr);
+      const results = await Promise.all(
         [...addrs].map(async (addr) => ({
           addr,
-          r: await post.ask(addr, '', kind, body, form, CoreTimings.requestTimeoutMs),
+          reply: await post.ask(addr, '', kind, body, schema, CoreTimings.requestTimeoutMs),
         })),
       );
-      return got.flatMap(({ addr, r }) => (r.ok ? [{ addr, reply: r.val }] : []));
+      return results.flatMap(({ addr, reply: r }) => (r.ok ? [{ addr, reply: r.val }] : []));
     };
-    const newest = (list: readonly { view: View | null }[]): View | undefined =>
+    const newestView = (list: readonly { view: View | null }[]): View | undefined =>
       list
         .map((s) => s.view)
         .filter((v): v is View => v !== null)
@@ -70,29 +79,30 @@
     return {
       /** One turn of a daemon without a view: it takes up one that others hold, or has a part in making the first. */
       async runRound(): Promise<void> {
-        const took = voter.acceptedView(),
-          me = h.me();
-        if (took && Views.votes(took, me)) {
-          if (await viewChanger.propose(took.voters, took, 'Taking up a first view left half made.')) return;
-          await h.addresses.search(took);
+        const accepted = voter.acceptedView(),
+          me = hooks.me();
+        if (accepted && Views.votes(accepted, me)) {
+          if (await viewChanger.propose(accepted.voters, accepted, 'Taking up a first view left half made.')) return;
+          await hooks.addresses.search(accepted);
           return;
         }
-        const held = newest((await ask('core.look', {}, CoreMessages.seen)).map((r) => r.reply));
-        const answers = held || !h.stands() ? [] : await ask('core.meet', { me }, CoreMessages.met);
-        const all = answers.map((r) => r.reply);
-        const view = held ?? newest(all);
+        const existing = newestView((await askAll('core.look', {}, CoreMessages.lookReply)).map((r) => r.reply));
+        const meetReplies =
+          existing || !hooks.isCandidate() ? [] : await askAll('core.meet', { me }, CoreMessages.meetReply);
+        const replies = meetReplies.map((r) => r.reply);
+        const view = existing ?? newestView(replies);
         if (view) {
-          await h.adopt(view);
+          await hooks.adopt(view);
           return;
         }
-        told = all.flatMap((s) => s.met.map((m) => m.addr)).slice(0, LIVES);
-        for (const s of all) if (s.met.some((m) => Views.same(m, s.me))) note(s.me);
-        const list = known();
-        const first = BootstrapRules.firstView(list, me, h.losses);
-        const replied = answers.map((r) => r.addr);
-        if (!first || !BootstrapRules.heardSeeds(h.seeds(), me.addr, replied)) return;
-        if (!BootstrapRules.agreed(list, me, all)) return;
-        await viewChanger.propose(first.voters, first, 'The first view.', list);
+        reportedAddresses = replies.flatMap((s) => s.met.map((m) => m.addr)).slice(0, MAX_CANDIDATES);
+        for (const s of replies) if (s.met.some((m) => Views.same(m, s.me))) recordCandidate(s.me);
+        const candidates = knownCandidates();
+        const proposal = BootstrapRules.firstView(candidates, me, hooks.losses);
+        const repliedAddresses = meetReplies.map((r) => r.addr);
+        if (!proposal || !BootstrapRules.heardSeeds(hooks.seeds(), me.addr, repliedAddresses)) return;
+        if (!BootstrapRules.agreed(candidates, me, replies)) return;
+        await viewChanger.propose(proposal.voters, proposal, 'The first view.', candidates);
       },
     };
   },
--- a/packages/registry/src/consensus/introducer.ts
+++ b/packages/registry/src/consensus/introducer.ts
@@ -5,12 +5,12 @@
 import type { View } from './view.js';
 
 /** Candidates that are remembered at once. */
-const LIVES = 64;
+const MAX_CANDIDATES = 64;
 /**
  * How long they are, in ms: longer than candidates that have a view by now may be cut off from those that have none.
  * Whoever meets here late is so told of them, and asks them for their view.
  */
-const REMEMBERED = 60_000;
+const CANDIDATE_TTL_MS = 60_000;
 type Hooks = { clock: Clock; post: PostBox; me: () => Member; view: () => View | null };
 
 /**
@@ -18,13 +18,13 @@
  * Invariant: it is never a candidate itself; it tells of every candidate that met it while it is REMEMBERED.
  */
 export const Introducer = {
-  make(h: Hooks): void {
-    const met = Fading.make<Member>(h.clock.mono, LIVES);
-    h.post.on('core.look', CoreMessages.look, () => ({ view: h.view(), took: null, me: h.me() }));
-    h.post.on('core.meet', CoreMessages.meet, ({ me }) => {
-      met.set(me.id, me, REMEMBERED);
-      const known = BootstrapRules.ordered(met.all());
-      return { view: h.view(), took: null, me: h.me(), met: known };
+  make(hooks: Hooks): void {
+    const candidates = Fading.make<Member>(hooks.clock.mono, MAX_CANDIDATES);
+    hooks.post.on('core.look', CoreMessages.empty, () => ({ view: hooks.view(), took: null, me: hooks.me() }));
+    hooks.post.on('core.meet', CoreMessages.meet, ({ me }) => {
+      candidates.set(me.id, me, CANDIDATE_TTL_MS);
+      const known = BootstrapRules.ordered(candidates.all());
+      return { view: hooks.view(), took: null, me: hooks.me(), met: known };
     });
   },
 };
--- a/packages/registry/src/consensus/leaserecall.ts
+++ b/packages/registry/src/consensus/leaserecall.ts
@@ -24,34 +24,35 @@
     detector: FailureDetector,
     voter: Voter,
   ) {
-    post.on('core.rest', CoreMessages.rest, (body) => {
+    post.on('core.rest', CoreMessages.leaseRecall, (body) => {
       const ok = view()?.epoch === body.epoch;
       if (ok) detector.releaseLeases();
       return { ok };
     });
-    const ask = async (v: View, m: Member): Promise<void> => {
-      if (Views.same(m, me())) detector.releaseLeases();
+    const recallFrom = async (recalledView: View, holder: Member): Promise<void> => {
+      if (Views.same(holder, me())) detector.releaseLeases();
       else {
-        const r = await post.ask(
-          addresses.addressOf(m),
-          m.id,
+        const reply = await post.ask(
+          addresses.addressOf(holder),
+          holder.id,
           'core.rest',
-          { epoch: v.epoch },
-          CoreMessages.done,
+          { epoch: recalledView.epoch },
+          CoreMessages.acknowledgement,
           CoreTimings.requestTimeoutMs,
         );
-        if (!r.ok || !r.val.ok) return;
+        if (!reply.ok || !reply.val.ok) return;
       }
-      voter.releaseLease(v.epoch, m);
+      voter.releaseLease(recalledView.epoch, holder);
     };
     return {
       ...voter,
       async prepare(epoch: number, ballot: number): ReturnType<Voter['prepare']> {
-        const first = await voter.prepare(epoch, ballot),
-          v = view();
-        if (first.ok || first.wait === 0 || !v || v.epoch + 1 !== epoch) return first;
-        const all = Promise.all(v.chain.map((m) => ask(v, m)));
-        await Promise.race([all, Timer.nap(world.clock, CoreTimings.leaseRecallTimeoutMs)]);
+        const firstAttempt = await voter.prepare(epoch, ballot),
+          presentView = view();
+        if (firstAttempt.ok || firstAttempt.wait === 0 || !presentView || presentView.epoch + 1 !== epoch)
+          return firstAttempt;
+        const recalls = Promise.all(presentView.chain.map((m) => recallFrom(presentView, m)));
+        await Promise.race([recalls, Timer.nap(world.clock, CoreTimings.leaseRecallTimeoutMs)]);
         return voter.prepare(epoch, ballot);
       },
     };
--- a/packages/registry/src/consensus/viewchanger.ts
+++ b/packages/registry/src/consensus/viewchanger.ts
@@ -10,7 +10,7 @@
 import type { Voter } from './voter.js';
 import { VoterRules } from './voterrules.js';
 
-type Voice = {
+type VoterReply = {
   ok: boolean;
   wait?: number;
   promised: number;
@@ -20,9 +20,9 @@
 
 /** Ballots come in blocks of so many. Invariant: each voter has one of its own in every block,
  * and those that have no vote share the last. */
-const BLOCK = ViewLimits.maxVoters + 1;
+const BALLOT_BLOCK_SIZE = ViewLimits.maxVoters + 1;
 /** Members by name, in their order. */
-const text = (list: readonly Member[]): string => JSON.stringify(list.map((m) => [m.id, m.born]));
+const serialize = (members: readonly Member[]): string => JSON.stringify(members.map((m) => [m.id, m.born]));
 
 /**
  * Proposes the next view to the voters of the present one.
@@ -38,88 +38,88 @@
     voter: Voter,
     adopt: (v: View) => Promise<boolean>,
   ) {
-    let busy = false;
-    let top = 0;
-    let told: Promise<unknown> = Promise.resolve();
+    let proposing = false;
+    let highestBallot = 0;
+    let announcements: Promise<unknown> = Promise.resolve();
     const log = world.log('view');
 
-    const ballot = (voters: readonly Member[]): number => {
-      const place = voters.findIndex((m) => m.id === me().id);
-      const mine = place < 0 ? ViewLimits.maxVoters : place;
-      const n = Math.floor(top / BLOCK) * BLOCK + BLOCK + mine;
-      top = n;
-      return n;
+    const nextBallot = (voters: readonly Member[]): number => {
+      const position = voters.findIndex((m) => m.id === me().id);
+      const offset = position < 0 ? ViewLimits.maxVoters : position;
+      const ballot = Math.floor(highestBallot / BALLOT_BLOCK_SIZE) * BALLOT_BLOCK_SIZE + BALLOT_BLOCK_SIZE + offset;
+      highestBallot = ballot;
+      return ballot;
     };
     /** What voters say, as soon as enough of them say yes; else what all say that can be heard. */
     const poll = (
       voters: readonly Member[],
-      need: number,
-      one: (m: Member) => Promise<Voice | null>,
-    ): Promise<Voice[]> =>
-      new Promise((done) => {
-        const got: Voice[] = [];
-        let left = voters.length;
+      quorum: number,
+      askVoter: (m: Member) => Promise<VoterReply | null>,
+    ): Promise<VoterReply[]> =>
+      new Promise((resolve) => {
+        const replies: VoterReply[] = [];
+        let remaining = voters.length;
         for (const m of voters)
-          void one(m).then((v) => {
-            if (v) got.push(v);
-            if (--left === 0 || got.filter((x) => x.ok).length >= need) done([...got]);
+          void askVoter(m).then((reply) => {
+            if (reply) replies.push(reply);
+            if (--remaining === 0 || replies.filter((x) => x.ok).length >= quorum) resolve([...replies]);
           });
       });
     const round = async (voters: readonly Member[], next: View, promisers: readonly Member[]): Promise<View | null> => {
-      const n = ballot(voters),
+      const ballot = nextBallot(voters),
         epoch = next.epoch,
-        most = Math.floor(voters.length / 2) + 1;
-      const needed = (taken: boolean): number =>
-        epoch === 1 ? BootstrapRules.promisesNeeded(promisers.length, voters.length, taken) : most;
-      const first = await poll(promisers, needed(false), async (m) => {
-        if (Views.same(m, me())) return { ...(await voter.prepare(epoch, n)), view: null };
-        const r = await post.ask(
+        majority = Math.floor(voters.length / 2) + 1;
+      const promisesNeeded = (hasAcceptedView: boolean): number =>
+        epoch === 1 ? BootstrapRules.promisesNeeded(promisers.length, voters.length, hasAcceptedView) : majority;
+      const promises = await poll(promisers, promisesNeeded(false), async (m) => {
+        if (Views.same(m, me())) return { ...(await voter.prepare(epoch, ballot)), view: null };
+        const reply = await post.ask(
           addresses.addressOf(m),
           m.id,
           'core.prepare',
-          { epoch, ballot: n },
-          CoreMessages.prepared,
+          { epoch, ballot: ballot },
+          CoreMessages.prepareReply,
           CoreTimings.requestTimeoutMs,
         );
-        return r.ok ? r.val : null;
+        return reply.ok ? reply.val : null;
       });
-      for (const v of first) top = Math.max(top, v.promised);
-      const ahead = first.find((v) => v.view && v.view.epoch >= epoch);
+      for (const v of promises) highestBallot = Math.max(highestBallot, v.promised);
+      const ahead = promises.find((v) => v.view && v.view.epoch >= epoch);
       if (ahead?.view) {
         await adopt(ahead.view);
         return null;
       }
-      const yes = first.filter((v) => v.ok);
-      const taken = yes.some((v) => v.took);
+      const granted = promises.filter((v) => v.ok);
+      const hasAcceptedView = granted.some((v) => v.took);
       // Nobody else may count those that promised.
-      if (BootstrapRules.isTakenOver(promisers.length, voters.length, taken)) return null;
-      if (yes.length < needed(taken)) {
-        const wait = Math.min(CoreTimings.viewLeaseMs, Math.max(...first.map((v) => v.wait ?? 0), 0));
-        await Timer.nap(world.clock, wait + Dice.int(world.chance, 60));
+      if (BootstrapRules.isTakenOver(promisers.length, voters.length, hasAcceptedView)) return null;
+      if (granted.length < promisesNeeded(hasAcceptedView)) {
+        const waitMs = Math.min(CoreTimings.viewLeaseMs, Math.max(...promises.map((v) => v.wait ?? 0), 0));
+        await Timer.nap(world.clock, waitMs + Dice.int(world.chance, 60));
         return null;
       }
-      const view = VoterRules.choice(yes, next);
-      if (epoch === 1 && text(view.voters) !== text(voters)) return null;
-      const second = await poll(voters, most, async (m) => {
-        if (Views.same(m, me())) return { ...(await voter.accept(epoch, n, view)), view: null };
-        const r = await post.ask(
+      const view = VoterRules.choice(granted, next);
+      if (epoch === 1 && serialize(view.voters) !== serialize(voters)) return null;
+      const acceptances = await poll(voters, majority, async (m) => {
+        if (Views.same(m, me())) return { ...(await voter.accept(epoch, ballot, view)), view: null };
+        const reply = await post.ask(
           addresses.addressOf(m),
           m.id,
           'core.accept',
-          { epoch, ballot: n, view },
-          CoreMessages.accepted,
+          { epoch, ballot: ballot, view },
+          CoreMessages.acceptReply,
           CoreTimings.requestTimeoutMs,
         );
-        return r.ok ? r.val : null;
+        return reply.ok ? reply.val : null;
       });
-      for (const v of second) top = Math.max(top, v.promised);
-      return second.filter((v) => v.ok).length >= most ? view : null;
+      for (const v of acceptances) highestBallot = Math.max(highestBallot, v.promised);
+      return acceptances.filter((v) => v.ok).length >= majority ? view : null;
     };
 
     return {
-      isBusy: (): boolean => busy,
+      isBusy: (): boolean => proposing,
       /** Settles when all members of the view agreed last have been told of it, or could not be. */
-      announced: (): Promise<unknown> => told,
+      announced: (): Promise<unknown> => announcements,
       /**
        * Tries for a while; true once some view of that epoch is in force here. The first view may have to be promised
        * by more daemons than will vote: `promisers`.
@@ -127,19 +127,19 @@
       async propose(
         voters: readonly Member[],
         next: View,
-        why: string,
+        reason: string,
         promisers: readonly Member[] = voters,
       ): Promise<boolean> {
-        if (busy) return false;
-        busy = true;
+        if (proposing) return false;
+        proposing = true;
         try {
-          for (let i = 0; i < 6; i++) {
+          for (let attempt = 0; attempt < 6; attempt++) {
             const view = await round(voters, next, promisers);
             if (view) {
-              log.say(`View ${view.epoch} is agreed: ${view.chain.map((m) => m.id).join(' > ')}. ${why}`);
+              log.say(`View ${view.epoch} is agreed: ${view.chain.map((m) => m.id).join(' > ')}. ${reason}`);
               world.tell({ what: 'view', epoch: view.epoch, chain: view.chain.map((m) => `${m.id}/${m.born}`) });
-              const done = await adopt(view);
-              told = Promise.all(
+              const adopted = await adopt(view);
+              announcements = Promise.all(
                 Views.all(view)
                   .filter((m) => !Views.same(m, me()))
                   .map((m) =>
@@ -148,17 +148,17 @@
                       m.id,
                       'core.view',
                       { view },
-                      CoreMessages.done,
+                      CoreMessages.acknowledgement,
                       CoreTimings.requestTimeoutMs,
                     ),
                   ),
               );
-              return done;
+              return adopted;
             }
           }
           return false;
         } finally {
-          busy = false;
+          proposing = false;
         }
       },
     };
--- a/packages/registry/src/consensus/viewfile.ts
+++ b/packages/registry/src/consensus/viewfile.ts
@@ -9,30 +9,30 @@
   make(store: Store, loaded: View | null) {
     let newest = loaded;
     let saved = loaded?.epoch ?? 0;
-    let last: Promise<Result<void, string> | null> = Promise.resolve(null);
+    let lastWrite: Promise<Result<void, string> | null> = Promise.resolve(null);
     const isSaved = (): boolean => newest === null || saved >= newest.epoch;
     /** Null where nothing had to be written. */
     const write = async (): Promise<Result<void, string> | null> => {
       const view = newest;
       if (!view || isSaved()) return null;
-      const done = await store.put('view', view);
-      if (done.ok) saved = Math.max(saved, view.epoch);
-      return done;
+      const result = await store.put('view', view);
+      if (result.ok) saved = Math.max(saved, view.epoch);
+      return result;
     };
-    const next = (): Promise<Result<void, string> | null> => {
-      last = last.then(write);
-      return last;
+    const enqueueWrite = (): Promise<Result<void, string> | null> => {
+      lastWrite = lastWrite.then(write);
+      return lastWrite;
     };
     return {
       /** Writes a view that is newer than any before it; gives the fault, or null once it is on disk. */
       async save(view: View): Promise<string | null> {
         newest = view;
-        const done = await next();
-        return done?.err ? done.val : null;
+        const result = await enqueueWrite();
+        return result?.err ? result.val : null;
       },
       /** Whether the newest view is on disk, once what is under way has ended and what had failed was written again. */
       async ensureSaved(): Promise<boolean> {
-        if (!isSaved()) await next();
+        if (!isSaved()) await enqueueWrite();
         return isSaved();
       },
     };
--- a/packages/registry/src/consensus/voter.ts
+++ b/packages/registry/src/consensus/voter.ts
@@ -4,10 +4,10 @@
 import type { Vote } from './vote.js';
 import { VoterRules } from './voterrules.js';
 
-type Who = { id: string; born: string };
-type Prepared = { ok: boolean; wait: number; promised: number; took: Vote['took'] };
+type Identity = { id: string; born: string };
+type PrepareReply = { ok: boolean; wait: number; promised: number; took: Vote['took'] };
 
-const key = (w: Who | undefined): string => (w ? `${w.id}/${w.born}` : '');
+const leaseKey = (holder: Identity | undefined): string => (holder ? `${holder.id}/${holder.born}` : '');
 
 /**
  * One voter's part in choosing the next view: one single-decree agreement an epoch.
@@ -21,68 +21,68 @@
   make(
     store: Store,
     mono: () => number,
-    kept: Vote | null,
-    until = 0,
-    settled: () => Promise<boolean> = () => Promise.resolve(true),
+    restored: Vote | null,
+    earlierLeasesUntil = 0,
+    ensureViewSaved: () => Promise<boolean> = () => Promise.resolve(true),
   ) {
-    let vote: Vote | null = kept;
-    const held = new Map([['', until]]);
-    let moving = 0;
-    let present = 0;
-    let chain: Promise<unknown> = Promise.resolve();
-    const last = (): number => Math.max(...held.values(), 0);
-    const alone = <T>(fn: () => Promise<T>): Promise<T> => {
-      const next = chain.then(fn, fn);
-      chain = next;
+    let vote: Vote | null = restored;
+    const leases = new Map([['', earlierLeasesUntil]]);
+    let viewChangeUntil = 0;
+    let presentEpoch = 0;
+    let lastOperation: Promise<unknown> = Promise.resolve();
+    const lastLeaseEnd = (): number => Math.max(...leases.values(), 0);
+    const exclusively = <T>(operation: () => Promise<T>): Promise<T> => {
+      const next = lastOperation.then(operation, operation);
+      lastOperation = next;
       return next;
     };
-    const save = async (v: Vote): Promise<Result<void, string>> => {
-      const done = await store.put('vote', v);
-      if (done.ok) vote = v;
-      return done;
+    const persist = async (newVote: Vote): Promise<Result<void, string>> => {
+      const result = await store.put('vote', newVote);
+      if (result.ok) vote = newVote;
+      return result;
     };
-    const at = (epoch: number): Vote => VoterRules.voteForEpoch(vote, epoch);
-    const no = (epoch: number, wait: number): Prepared => ({
+    const voteForEpoch = (epoch: number): Vote => VoterRules.voteForEpoch(vote, epoch);
+    const refusal = (epoch: number, waitMs: number): PrepareReply => ({
       ok: false,
-      wait,
-      promised: at(epoch).promised,
+      wait: waitMs,
+      promised: voteForEpoch(epoch).promised,
       took: null,
     });
     return {
       acceptedView: (): View | null => vote?.took?.view ?? null,
       /** Grants a lease on the view of `epoch`, unless the next view is under way. */
-      grantLease(epoch: number, ms: number, who?: Who): boolean {
-        if (mono() < moving || !VoterRules.mayGrant(vote, epoch)) return false;
-        held.set(key(who), mono() + ms);
+      grantLease(epoch: number, leaseMs: number, holder?: Identity): boolean {
+        if (mono() < viewChangeUntil || !VoterRules.mayGrant(vote, epoch)) return false;
+        leases.set(leaseKey(holder), mono() + leaseMs);
         return true;
       },
-      prepare: (epoch: number, ballot: number): Promise<Prepared> =>
-        alone(async () => {
-          if (epoch <= present || !(await settled())) return no(epoch, 0);
-          moving = mono() + 1500;
-          const leasedFor = last() - mono();
-          const next = VoterRules.promise(vote, present, epoch, ballot, leasedFor > 0);
-          if (!next) return no(epoch, Math.max(0, leasedFor));
-          const done = await save(next);
-          return done.ok ? { ok: true, wait: 0, promised: ballot, took: next.took } : no(epoch, 0);
+      prepare: (epoch: number, ballot: number): Promise<PrepareReply> =>
+        exclusively(async () => {
+          if (epoch <= presentEpoch || !(await ensureViewSaved())) return refusal(epoch, 0);
+          viewChangeUntil = mono() + 1500;
+          const leasedForMs = lastLeaseEnd() - mono();
+          const next = VoterRules.promise(vote, presentEpoch, epoch, ballot, leasedForMs > 0);
+          if (!next) return refusal(epoch, Math.max(0, leasedForMs));
+          const result = await persist(next);
+          return result.ok ? { ok: true, wait: 0, promised: ballot, took: next.took } : refusal(epoch, 0);
         }),
       accept: (epoch: number, ballot: number, view: View): Promise<{ ok: boolean; promised: number }> =>
-        alone(async () => {
-          if (!(await settled())) return { ok: false, promised: at(epoch).promised };
-          const next = VoterRules.accept(vote, present, ballot, { ...view, epoch }, mono() < last());
-          if (!next) return { ok: false, promised: at(epoch).promised };
-          const done = await save(next);
-          return { ok: done.ok, promised: ballot };
+        exclusively(async () => {
+          if (!(await ensureViewSaved())) return { ok: false, promised: voteForEpoch(epoch).promised };
+          const next = VoterRules.accept(vote, presentEpoch, ballot, { ...view, epoch }, mono() < lastLeaseEnd());
+          if (!next) return { ok: false, promised: voteForEpoch(epoch).promised };
+          const result = await persist(next);
+          return { ok: result.ok, promised: ballot };
         }),
       /** One that held a lease on the view of `epoch` has laid it down. */
-      releaseLease(epoch: number, who: Who): void {
-        if (epoch === present && mono() < moving) held.delete(key(who));
+      releaseLease(epoch: number, holder: Identity): void {
+        if (epoch === presentEpoch && mono() < viewChangeUntil) leases.delete(leaseKey(holder));
       },
       /** A new view is in force; what was bound to the old one is over. */
       onViewChange(epoch: number): void {
-        present = epoch;
-        moving = 0;
-        for (const [k, at] of held) if (at <= mono()) held.delete(k);
+        presentEpoch = epoch;
+        viewChangeUntil = 0;
+        for (const [holderKey, leaseEnd] of leases) if (leaseEnd <= mono()) leases.delete(holderKey);
       },
     };
   },
--- a/packages/registry/src/core.ts
+++ b/packages/registry/src/core.ts
@@ -21,17 +21,17 @@
 import { FailureDetector } from './membership/failuredetector.js';
 import { AddressBook } from './membership/addressbook.js';
 
-type Kept = { born: string | null; view: View | null; vote: Vote | null; state: CoreState };
+type RestoredState = { born: string | null; view: View | null; vote: Vote | null; state: CoreState };
 type Hooks = {
   /** Where other core daemons may be met. */
-  cores: () => readonly string[];
+  coreAddresses: () => readonly string[];
   /** The addresses that every daemon was given at the first start. */
   seeds: () => readonly string[];
   /** How many machines may be lost at once; it sizes the first view, and later ones keep its size. */
   losses: number;
   /** Whether a daemon with nothing on disk may have a part in making the first view. */
-  first: boolean;
-  passed: (s: CoreState) => void;
+  mayFormFirstView: boolean;
+  onCommitted: (s: CoreState) => void;
 };
 
 /**
@@ -39,168 +39,177 @@
  * Invariant: the view held here only rises in epoch.
  */
 export const Core = {
-  make(world: World, post: PostBox, ident: () => Ident, store: Store, kept: Kept, h: Hooks) {
+  make(world: World, post: PostBox, ident: () => Ident, store: Store, restored: RestoredState, hooks: Hooks) {
     const log = world.log('core');
     const me = (): Member => ({ id: ident().id, born: ident().born, addr: ident().addr });
-    const life = interpret(CoreLifecycle, () => undefined);
-    const viewFile = ViewFile.make(store, kept.view);
+    const lifecycle = interpret(CoreLifecycle, () => undefined);
+    const viewFile = ViewFile.make(store, restored.view);
     // A daemon that lived before may have granted leases, also on a view that it had not on disk yet.
-    const until = kept.born === null ? 0 : world.clock.mono() + CoreTimings.viewLeaseMs;
-    const voter = Voter.make(store, world.clock.mono, kept.vote, until, viewFile.ensureSaved);
-    const addresses = AddressBook.make(world, post, me, h.cores);
+    const earlierLeasesUntil = restored.born === null ? 0 : world.clock.mono() + CoreTimings.viewLeaseMs;
+    const voter = Voter.make(store, world.clock.mono, restored.vote, earlierLeasesUntil, viewFile.ensureSaved);
+    const addresses = AddressBook.make(world, post, me, hooks.coreAddresses);
     const detector = FailureDetector.make(world, post, me, addresses, voter);
     let view: View | null = null;
-    const resting = LeaseRecall.make(world, post, me, addresses, () => view, detector, voter);
+    const recallingVoter = LeaseRecall.make(world, post, me, addresses, () => view, detector, voter);
     let leaving = false;
     let stop: () => void = () => undefined;
-    const sick = (): boolean =>
-      life.machine.current === 'sick' || store.longestPendingWriteMs() > CoreTimings.diskStallMs;
-    const inside = (): boolean => !!view && view.chain.some((m) => Views.same(m, me()) && m.addr === me().addr);
+    const isSick = (): boolean =>
+      lifecycle.machine.current === 'sick' || store.longestPendingWriteMs() > CoreTimings.diskStallMs;
+    const isInChain = (): boolean => !!view && view.chain.some((m) => Views.same(m, me()) && m.addr === me().addr);
     /** In the chain, though the view may still have it at another address. */
-    const placed = (v: View): boolean => Views.place(v, me()) >= 0;
-    const live = (): boolean => !sick() && detector.holdsLease(view);
-    const ill = (why: string): void => {
-      if (life.machine.current !== 'sick') {
-        log.warn(`The disk failed: ${why}. Leaving the chain.`);
+    const hasPosition = (inView: View): boolean => Views.place(inView, me()) >= 0;
+    const holdsLease = (): boolean => !isSick() && detector.holdsLease(view);
+    const onDiskFault = (reason: string): void => {
+      if (lifecycle.machine.current !== 'sick') {
+        log.warn(`The disk failed: ${reason}. Leaving the chain.`);
         world.tell({ what: 'sick' });
       }
-      life.send('ill');
+      lifecycle.send('ill');
     };
     const isTail = (): boolean => !!view && Views.same(Views.tail(view), me());
     const isHead = (): boolean => !!view && Views.same(Views.head(view), me());
-    const chain = Chain.make(world, post, store, kept.state, {
+    const chain = Chain.make(world, post, store, restored.state, {
       view: () => view,
-      live: live,
+      holdsLease: holdsLease,
       me,
-      ill: ill,
-      passed: h.passed,
+      onDiskFault: onDiskFault,
+      onCommitted: hooks.onCommitted,
     });
-    const desk = CoreService.make(world, post, { view: () => view, live: live, chain, isTail, isHead });
-    const place = (next: View): void => {
+    const service = CoreService.make(world, post, { view: () => view, holdsLease: holdsLease, chain, isTail, isHead });
+    const installView = (next: View): void => {
       view = next;
       voter.onViewChange(next.epoch);
       detector.reset();
-      desk.onViewChange();
-      life.send(inside() ? 'placed' : 'found');
+      service.onViewChange();
+      lifecycle.send(isInChain() ? 'placed' : 'found');
       chain.onViewChange();
     };
     const adopt = async (next: View): Promise<boolean> => {
       if (view && next.epoch <= view.epoch) return next.epoch === view.epoch;
-      place(next);
+      installView(next);
       const fault = await viewFile.save(next);
-      if (fault !== null) ill(fault);
+      if (fault !== null) onDiskFault(fault);
       return true;
     };
-    const viewChanger = ViewChanger.make(world, post, me, addresses, resting, adopt);
+    const viewChanger = ViewChanger.make(world, post, me, addresses, recallingVoter, adopt);
 
-    const stands = (): boolean => !view && (h.first || kept.vote !== null);
+    const isCandidate = (): boolean => !view && (hooks.mayFormFirstView || restored.vote !== null);
     const bootstrap = Bootstrap.make(world, post, voter, viewChanger, {
-      ...h,
+      ...hooks,
       me,
       addresses,
       view: () => view,
-      stands: stands,
+      isCandidate: isCandidate,
       adopt,
     });
 
-    const join = async (v: View): Promise<void> => {
-      const ask = Dice.one(
+    const join = async (joinedView: View): Promise<void> => {
+      const contact = Dice.one(
         world.chance,
-        Views.all(v).filter((m) => m.id !== me().id),
+        Views.all(joinedView).filter((m) => m.id !== me().id),
       );
-      if (ask)
+      if (contact)
         await post.ask(
-          addresses.addressOf(ask),
-          ask.id,
+          addresses.addressOf(contact),
+          contact.id,
           'core.join',
           { me: me() },
-          CoreMessages.done,
+          CoreMessages.acknowledgement,
           CoreTimings.requestTimeoutMs,
         );
     };
     const repair = RepairTask.make(me, world.clock.mono, detector, viewChanger, chain);
-    const heal = async (): Promise<void> => {
-      const done = await store.saveIdentity(me().born, false);
-      if (done.ok && (await viewFile.ensureSaved())) {
+    const recoverDisk = async (): Promise<void> => {
+      const written = await store.saveIdentity(me().born, false);
+      if (written.ok && (await viewFile.ensureSaved())) {
         log.say('The disk is well again.');
-        life.send('well');
+        lifecycle.send('well');
       }
     };
     const tick = async (): Promise<void> => {
-      if (life.machine.current === 'sick') void heal();
+      if (lifecycle.machine.current === 'sick') void recoverDisk();
       if (!view) {
         await bootstrap.runRound();
         return;
       }
-      const best = await detector.sendHeartbeats(view, { sick: sick(), fresh: chain.fresh() });
-      if (best) await adopt(best);
-      const now: View = view;
-      if (inside()) {
-        if (!sick()) repair.checkMembers(now);
-      } else if (!sick() && !leaving) {
-        repair.takeOverFromReserve(now);
-        if (!viewChanger.isBusy()) await join(now);
+      const newestView = await detector.sendHeartbeats(view, { sick: isSick(), fresh: chain.fresh() });
+      if (newestView) await adopt(newestView);
+      const currentView: View = view;
+      if (isInChain()) {
+        if (!isSick()) repair.checkMembers(currentView);
+      } else if (!isSick() && !leaving) {
+        repair.takeOverFromReserve(currentView);
+        if (!viewChanger.isBusy()) await join(currentView);
       }
     };
 
-    post.on('core.beat', CoreMessages.beat, (body) => {
-      addresses.note(body.me);
+    post.on('core.beat', CoreMessages.heartbeat, (body) => {
+      addresses.record(body.me);
       detector.recordHeartbeat(body.me, { sick: body.sick, fresh: body.fresh, epoch: body.epoch });
-      const lease =
+      const leaseGranted =
         !!view &&
         ChainRules.mayLease(view, body.epoch, body.me, me()) &&
         voter.grantLease(view.epoch, CoreTimings.viewLeaseMs, body.me);
-      return { me: me(), view, claim: lease, sick: sick(), fresh: chain.fresh() };
+      return { me: me(), view, claim: leaseGranted, sick: isSick(), fresh: chain.fresh() };
     });
-    const fits = (epoch: number): boolean =>
-      epoch === (view?.epoch ?? 0) + 1 && (view ? Views.votes(view, me()) : stands());
+    const isNextEpoch = (epoch: number): boolean =>
+      epoch === (view?.epoch ?? 0) + 1 && (view ? Views.votes(view, me()) : isCandidate());
     post.on('core.prepare', CoreMessages.prepare, async (body) => {
-      if (!fits(body.epoch)) return { ok: false, wait: 0, promised: 0, took: null, view };
-      return { ...(await resting.prepare(body.epoch, body.ballot)), view };
+      if (!isNextEpoch(body.epoch)) return { ok: false, wait: 0, promised: 0, took: null, view };
+      return { ...(await recallingVoter.prepare(body.epoch, body.ballot)), view };
     });
     post.on('core.accept', CoreMessages.accept, async (body) => {
-      if (!fits(body.epoch)) return { ok: false, promised: 0, view };
+      if (!isNextEpoch(body.epoch)) return { ok: false, promised: 0, view };
       return { ...(await voter.accept(body.epoch, body.ballot, body.view)), view };
     });
-    post.on('core.view', CoreMessages.view, async (body) => ({ ok: await adopt(body.view) }));
-    post.on('core.hint', CoreMessages.look, () => ({ view }));
+    post.on('core.view', CoreMessages.viewNotice, async (body) => ({ ok: await adopt(body.view) }));
+    post.on('core.hint', CoreMessages.empty, () => ({ view }));
     post.on('core.join', CoreMessages.join, (body) => {
-      const v = view,
-        m = body.me;
-      addresses.note(m);
-      if (!v || !placed(v) || sick() || viewChanger.isBusy() || !Views.votes(v, me())) return { ok: false };
-      const twin = v.chain.find((x) => x.id === m.id);
-      if (!Views.room(v, m) || (twin?.addr === m.addr && Views.same(twin, m))) return { ok: false };
-      if (twin && !Views.same(twin, m) && detector.silentForMs(twin) < CoreTimings.suspectAfterMs) return { ok: false };
-      const next = repair.viewWithNewcomer(v, m);
-      if (next) void viewChanger.propose(v.voters, next, `${m.id} joins at the tail.`);
+      const currentView = view,
+        newcomer = body.me;
+      addresses.record(newcomer);
+      if (
+        !currentView ||
+        !hasPosition(currentView) ||
+        isSick() ||
+        viewChanger.isBusy() ||
+        !Views.votes(currentView, me())
+      )
+        return { ok: false };
+      const namesake = currentView.chain.find((x) => x.id === newcomer.id);
+      if (!Views.room(currentView, newcomer) || (namesake?.addr === newcomer.addr && Views.same(namesake, newcomer)))
+        return { ok: false };
+      if (namesake && !Views.same(namesake, newcomer) && detector.silentForMs(namesake) < CoreTimings.suspectAfterMs)
+        return { ok: false };
+      const next = repair.viewWithNewcomer(currentView, newcomer);
+      if (next) void viewChanger.propose(currentView.voters, next, `${newcomer.id} joins at the tail.`);
       return { ok: next !== null };
     });
 
     return {
       start(): void {
-        if (kept.view) place(kept.view);
+        if (restored.view) installView(restored.view);
         stop = Timer.every(world.clock, CoreTimings.heartbeatIntervalMs, tick);
       },
       /** Has a view agreed without this daemon, if enough copies are left, and sees to it that the others know. */
       async leave(): Promise<void> {
         leaving = true;
-        const out = async (): Promise<void> => {
-          while (view && inside() && !sick() && view.chain.length > Views.most(view)) {
+        const removeSelf = async (): Promise<void> => {
+          while (view && isInChain() && !isSick() && view.chain.length > Views.most(view)) {
             if (!(await repair.leave(view))) await Timer.nap(world.clock, 20);
           }
           await viewChanger.announced();
         };
-        await Timer.within(world.clock, CoreTimings.leaveTimeoutMs, out(), () => undefined);
+        await Timer.within(world.clock, CoreTimings.leaveTimeoutMs, removeSelf(), () => undefined);
       },
       stop(): void {
         stop();
       },
       view: (): View | null => view,
-      life: (): string => life.machine.current,
-      live: live,
+      life: (): string => lifecycle.machine.current,
+      live: holdsLease,
       chain,
-      service: desk,
+      service: service,
     };
   },
 };
--- a/packages/registry/src/duties/leases.ts
+++ b/packages/registry/src/duties/leases.ts
@@ -9,36 +9,36 @@
  * know, waits one whole term first.
  */
 export const NamedLeases = {
-  make(clock: Clock, chain: Chain, live: () => boolean) {
-    const until = new Map<string, number>();
-    const asked = new Set<string>();
-    let calm = 0;
+  make(clock: Clock, chain: Chain, holdsLease: () => boolean) {
+    const expiresAt = new Map<string, number>();
+    const pendingTransfers = new Set<string>();
+    let newHeadWaitUntil = 0;
     return {
       onViewChange(): void {
-        until.clear();
-        calm = clock.mono() + CoreTimings.lease;
+        expiresAt.clear();
+        newHeadWaitUntil = clock.mono() + CoreTimings.lease;
       },
-      release(name: string, id: string, born: string): void {
-        const held = chain.passed()?.claims[name];
-        if (held && held.id === id && held.born === born) until.set(name, 0);
+      release(name: string, id: string, incarnation: string): void {
+        const holder = chain.passed()?.claims[name];
+        if (holder && holder.id === id && holder.born === incarnation) expiresAt.set(name, 0);
       },
-      async acquire(name: string, id: string, born: string): Promise<CommandResult> {
-        const held = chain.passed()?.claims[name],
+      async acquire(name: string, id: string, incarnation: string): Promise<CommandResult> {
+        const holder = chain.passed()?.claims[name],
           now = clock.mono();
-        if (!live() || !chain.isReady()) return { verdict: Verdicts.not('unready', 'The core is not ready.', 1) };
-        if (held && held.id === id && held.born === born) {
-          if (asked.has(name)) return { verdict: Verdicts.not('busy', 'The lease is changing hands.', 1) };
-          until.set(name, now + CoreTimings.lease);
-          return { verdict: Verdicts.ran('claimed', `${id} holds ${name}.`), fence: held.fence };
+        if (!holdsLease() || !chain.isReady()) return { verdict: Verdicts.not('unready', 'The core is not ready.', 1) };
+        if (holder && holder.id === id && holder.born === incarnation) {
+          if (pendingTransfers.has(name)) return { verdict: Verdicts.not('busy', 'The lease is changing hands.', 1) };
+          expiresAt.set(name, now + CoreTimings.lease);
+          return { verdict: Verdicts.ran('claimed', `${id} holds ${name}.`), fence: holder.fence };
         }
-        const wait = held ? (until.get(name) ?? calm) - now : 0;
-        if (wait > 0 || asked.has(name))
-          return { verdict: Verdicts.not('held', `${name} is held.`, Math.max(wait, 100) / 1000) };
-        asked.add(name);
-        const ruling = await chain.write({ do: 'claim', name, id, born });
-        asked.delete(name);
-        until.set(name, clock.mono() + CoreTimings.lease);
-        return ruling;
+        const waitMs = holder ? (expiresAt.get(name) ?? newHeadWaitUntil) - now : 0;
+        if (waitMs > 0 || pendingTransfers.has(name))
+          return { verdict: Verdicts.not('held', `${name} is held.`, Math.max(waitMs, 100) / 1000) };
+        pendingTransfers.add(name);
+        const result = await chain.write({ do: 'claim', name, id, born: incarnation });
+        pendingTransfers.delete(name);
+        expiresAt.set(name, clock.mono() + CoreTimings.lease);
+        return result;
       },
     };
   },
--- a/packages/registry/src/lending/burstcommand.ts
+++ b/packages/registry/src/lending/burstcommand.ts
@@ -1,8 +1,8 @@
 import { Type } from 'typebox';
 import { BurstSpec } from './burstspec.js';
 
-const shut = { additionalProperties: false } as const;
-const base = {
+const strict = { additionalProperties: false } as const;
+const generationKeys = {
   id: Type.String({ minLength: 1, maxLength: 60 }),
   index: Type.Integer({ minimum: 0 }),
   mark: Type.Integer({ minimum: 1 }),
@@ -11,19 +11,19 @@
 
 /** What is said to the core of bursts. */
 export const BurstCommand = Type.Union([
-  Type.Object({ do: Type.Literal('begin'), spec: BurstSpec }, shut),
-  Type.Object({ do: Type.Literal('end'), id: Type.String({ minLength: 1, maxLength: 60 }) }, shut),
-  Type.Object({ do: Type.Literal('mark'), ...base, fence: Type.Integer({ minimum: 1 }) }, shut),
+  Type.Object({ do: Type.Literal('begin'), spec: BurstSpec }, strict),
+  Type.Object({ do: Type.Literal('end'), id: Type.String({ minLength: 1, maxLength: 60 }) }, strict),
+  Type.Object({ do: Type.Literal('mark'), ...generationKeys, fence: Type.Integer({ minimum: 1 }) }, strict),
   Type.Object(
     {
       do: Type.Literal('settle'),
-      ...base,
+      ...generationKeys,
       to: Type.Union([Type.Literal('ran'), Type.Literal('unrun'), Type.Literal('unsure')]),
       text: Type.Optional(Type.String({ maxLength: 4096 })),
       count: Type.Optional(Type.Integer({ minimum: 0 })),
       digest: Type.Optional(Type.String({ maxLength: 64 })),
       why: Type.Optional(Type.String({ maxLength: 200 })),
     },
-    shut,
+    strict,
   ),
 ]);
--- a/packages/registry/src/lending/burstrule.ts
+++ b/packages/registry/src/lending/burstrule.ts
@@ -4,8 +4,8 @@
 
 /** Whether a burst may begin: the charter in force lets its rule borrow, or it is held, and is only said again. */
 export const BurstAdmission = {
-  mayBegin: (s: CoreState | null, spec: Pick<BurstSpec, 'key' | 'rule'>): boolean =>
-    s?.bursts?.some((b) => b.spec.key === spec.key) === true ||
-    Intents.charter(s?.charter?.body)?.lending?.rules.includes(spec.rule) === true,
+  mayBegin: (state: CoreState | null, spec: Pick<BurstSpec, 'key' | 'rule'>): boolean =>
+    state?.bursts?.some((b) => b.spec.key === spec.key) === true ||
+    Intents.charter(state?.charter?.body)?.lending?.rules.includes(spec.rule) === true,
   refusal: (rule: string): Verdict => Verdicts.not('notlent', `The charter in force lets no bursts of ${rule} borrow.`),
 };
--- a/packages/registry/src/lending/bursts.test.ts
+++ b/packages/registry/src/lending/bursts.test.ts
@@ -132,9 +132,9 @@
   it('is over only when each has its outcome', () => {
     let s = Apply.one(Apply.empty, lease('e1')).state;
     for (const c of [begin('b', 1), mark(0)]) s = Apply.one(s, c).state;
-    expect(Bursts.over(s.bursts![0]!)).to.equal(false);
+    expect(Bursts.isFinished(s.bursts![0]!)).to.equal(false);
     s = Apply.one(s, settle(0, 'unsure')).state;
-    expect(Bursts.over(s.bursts![0]!)).to.equal(true);
+    expect(Bursts.isFinished(s.bursts![0]!)).to.equal(true);
   });
   it('may be said again also where the charter lets its rule borrow no more', () => {
     const held = Apply.one(Apply.one(Apply.empty, lease('e1')).state, begin()).state;
--- a/packages/registry/src/lending/bursts.ts
+++ b/packages/registry/src/lending/bursts.ts
@@ -7,100 +7,139 @@
 import { Shards } from './shards.js';
 
 type Command = Static<typeof BurstCommand>;
-type Of<D extends Command['do']> = Extract<Command, { do: D }>;
-type Leases = Readonly<Record<string, { fence: number }>>;
-type Done = { bursts: readonly Burst[]; verdict: Verdict };
+type CommandOf<Kind extends Command['do']> = Extract<Command, { do: Kind }>;
+type LeaseFences = Readonly<Record<string, { fence: number }>>;
+type Outcome = { bursts: readonly Burst[]; verdict: Verdict };
 
-const MOST = { each: 256, all: 1024, body: 32_768, open: 16, gone: 64 };
-const FINAL: readonly Generation['state'][] = ['ran', 'unsure', 'dropped'];
-const over = (b: Burst): boolean => b.generations.every((g) => FINAL.includes(g.state));
+const LIMITS = {
+  generationsPerBurst: 256,
+  totalGenerations: 1024,
+  promptBytes: 32_768,
+  keptBursts: 16,
+  forgottenBursts: 64,
+};
+const FINAL_STATES: readonly Generation['state'][] = ['ran', 'unsure', 'dropped'];
+const isFinished = (burst: Burst): boolean => burst.generations.every((g) => FINAL_STATES.includes(g.state));
 
 /** What each command does to the bursts that the core keeps. Pure, as all of the core's rulings. */
 export const Bursts = {
-  over: over,
-  apply(bursts: readonly Burst[], leases: Leases, c: Command): Done {
-    const no = (code: string, why: string): Done => ({ bursts, verdict: Verdicts.not(code, why) });
-    const yes = (code: string, why: string): Done => ({ bursts, verdict: Verdicts.ran(code, why) });
-    const id = c.do === 'begin' ? c.spec.key : c.id;
-    const held = bursts.find((b) => b.spec.key === id);
-    const put = (next: Burst, code: string, why: string): Done => ({
-      bursts: bursts.map((b) => (b === held ? next : b)),
+  isFinished: isFinished,
+  apply(bursts: readonly Burst[], leases: LeaseFences, command: Command): Outcome {
+    const refuse = (code: string, why: string): Outcome => ({ bursts, verdict: Verdicts.not(code, why) });
+    const acknowledge = (code: string, why: string): Outcome => ({ bursts, verdict: Verdicts.ran(code, why) });
+    const burstKey = command.do === 'begin' ? command.spec.key : command.id;
+    const existing = bursts.find((b) => b.spec.key === burstKey);
+    const replaceBurst = (next: Burst, code: string, why: string): Outcome => ({
+      bursts: bursts.map((b) => (b === existing ? next : b)),
       verdict: Verdicts.ran(code, why),
     });
 
-    const begin = (spec: BurstSpec): Done => {
+    const begin = (spec: BurstSpec): Outcome => {
       const digest = Hash.of([spec.rule, spec.prompts.map((p) => [p.prefix, p.part]), spec.samples, spec.repeats]),
-        size = spec.prompts.length * spec.samples;
-      if (held)
-        return held.digest === digest
-          ? yes('begun', `Burst ${id} is begun.`)
-          : no('otherbody', `The key ${id} was used for another burst.`);
-      const body = spec.prompts.reduce((n, p) => n + Buffer.byteLength(p.prefix) + Buffer.byteLength(p.part), 0);
-      if (size > MOST.each || body > MOST.body)
-        return no('toolarge', `A burst has ${MOST.each} generations and ${MOST.body} bytes of prompts at the most.`);
-      const kept = bursts.filter((b) => !b.gone);
-      if (kept.length >= MOST.open || kept.reduce((n, b) => n + b.generations.length, 0) + size > MOST.all)
-        return no('full', 'Too many bursts are kept; end those whose outcomes were read.');
-      const one: Generation = { state: 'waiting', mark: 0, turn: 0, repeated: 0 };
+        generationCount = spec.prompts.length * spec.samples;
+      if (existing)
+        return existing.digest === digest
+          ? acknowledge('begun', `Burst ${burstKey} is begun.`)
+          : refuse('otherbody', `The key ${burstKey} was used for another burst.`);
+      const promptBytes = spec.prompts.reduce((n, p) => n + Buffer.byteLength(p.prefix) + Buffer.byteLength(p.part), 0);
+      if (generationCount > LIMITS.generationsPerBurst || promptBytes > LIMITS.promptBytes)
+        return refuse(
+          'toolarge',
+          `A burst has ${LIMITS.generationsPerBurst} generations and ${LIMITS.promptBytes} bytes of prompts at the most.`,
+        );
+      const keptBursts = bursts.filter((b) => !b.gone);
+      if (
+        keptBursts.length >= LIMITS.keptBursts ||
+        keptBursts.reduce((n, b) => n + b.generations.length, 0) + generationCount > LIMITS.totalGenerations
+      )
+        return refuse('full', 'Too many bursts are kept; end those whose outcomes were read.');
+      const initial: Generation = { state: 'waiting', mark: 0, turn: 0, repeated: 0 };
       const order = 1 + bursts.reduce((n, b) => Math.max(n, b.order), 0);
-      const fresh: Burst = {
+      const created: Burst = {
         ...{ spec, digest, order, ended: false, gone: false },
-        generations: Array.from({ length: size }, () => one),
+        generations: Array.from({ length: generationCount }, () => initial),
       };
-      return { bursts: [...bursts, fresh], verdict: Verdicts.ran('begun', `Burst ${id} is begun.`) };
+      return { bursts: [...bursts, created], verdict: Verdicts.ran('begun', `Burst ${burstKey} is begun.`) };
     };
     /** What waits is dropped; once nothing runs, a second end forgets the outcomes too. */
-    const end = (b: Burst): Done => {
-      if (b.gone) return yes('gone', `Burst ${id} is ended, and its outcomes are gone.`);
-      if (!over(b)) {
-        if (b.ended) return yes('ending', `Burst ${id} is ended; what was begun runs on.`);
-        const generations = b.generations.map((g) => (g.state === 'waiting' ? { ...g, state: 'dropped' as const } : g));
-        return put({ ...b, ended: true, generations }, 'ending', `Burst ${id} is ended; what was begun runs on.`);
+    const end = (burst: Burst): Outcome => {
+      if (burst.gone) return acknowledge('gone', `Burst ${burstKey} is ended, and its outcomes are gone.`);
+      if (!isFinished(burst)) {
+        if (burst.ended) return acknowledge('ending', `Burst ${burstKey} is ended; what was begun runs on.`);
+        const generations = burst.generations.map((g) =>
+          g.state === 'waiting' ? { ...g, state: 'dropped' as const } : g,
+        );
+        return replaceBurst(
+          { ...burst, ended: true, generations },
+          'ending',
+          `Burst ${burstKey} is ended; what was begun runs on.`,
+        );
       }
-      const gone = {
-        ...b,
-        spec: { ...b.spec, prompts: [{ prefix: '', part: '' }] },
+      const forgotten = {
+        ...burst,
+        spec: { ...burst.spec, prompts: [{ prefix: '', part: '' }] },
         ended: true,
         gone: true,
         generations: [],
       };
-      const rest = bursts.map((x) => (x === b ? gone : x));
-      const old = rest.filter((x) => x.gone).slice(0, -MOST.gone);
+      const remaining = bursts.map((x) => (x === burst ? forgotten : x));
+      const surplus = remaining.filter((x) => x.gone).slice(0, -LIMITS.forgottenBursts);
       return {
-        bursts: rest.filter((x) => !old.includes(x)),
-        verdict: Verdicts.ran('gone', `Burst ${id} is ended, and its outcomes are gone.`),
+        bursts: remaining.filter((x) => !surplus.includes(x)),
+        verdict: Verdicts.ran('gone', `Burst ${burstKey} is ended, and its outcomes are gone.`),
       };
     };
-    const swap = (b: Burst, index: number, g: Generation, code: string): Done =>
-      put({ ...b, generations: b.generations.map((x, i) => (i === index ? g : x)) }, code, `${id} ${index}: ${code}.`);
-    const mark = (b: Burst, g: Generation, m: Of<'mark'>): Done => {
-      if (leases[Shards.of(id)]?.fence !== m.fence) return no('fenced', 'Another daemon runs this burst.');
-      const same = g.state === 'begun' && g.mark === m.mark;
-      if (same && g.turn === m.turn && g.fence === m.fence) return yes('marked', `${id} ${m.index} is marked.`);
-      const first = g.state === 'waiting' && m.mark === g.mark + 1 && m.turn === 1;
-      if (!(first || (same && m.turn === g.turn + 1))) return no('stale', `${id} ${m.index} is not as you know it.`);
-      return swap(b, m.index, { ...g, state: 'begun', mark: m.mark, turn: m.turn, fence: m.fence }, 'marked');
+    const replaceGeneration = (burst: Burst, index: number, generation: Generation, code: string): Outcome =>
+      replaceBurst(
+        { ...burst, generations: burst.generations.map((x, i) => (i === index ? generation : x)) },
+        code,
+        `${burstKey} ${index}: ${code}.`,
+      );
+    const mark = (burst: Burst, generation: Generation, request: CommandOf<'mark'>): Outcome => {
+      if (leases[Shards.of(burstKey)]?.fence !== request.fence)
+        return refuse('fenced', 'Another daemon runs this burst.');
+      const isSameMark = generation.state === 'begun' && generation.mark === request.mark;
+      if (isSameMark && generation.turn === request.turn && generation.fence === request.fence)
+        return acknowledge('marked', `${burstKey} ${request.index} is marked.`);
+      const isFirstTurn = generation.state === 'waiting' && request.mark === generation.mark + 1 && request.turn === 1;
+      if (!(isFirstTurn || (isSameMark && request.turn === generation.turn + 1)))
+        return refuse('stale', `${burstKey} ${request.index} is not as you know it.`);
+      return replaceGeneration(
+        burst,
+        request.index,
+        { ...generation, state: 'begun', mark: request.mark, turn: request.turn, fence: request.fence },
+        'marked',
+      );
     };
-    const settle = (b: Burst, g: Generation, s: Of<'settle'>): Done => {
-      const done = g.mark === s.mark && ((s.to === 'unrun' && g.state === 'waiting') || g.state === s.to);
-      if (done) return yes('settled', `${id} ${s.index} is settled.`);
-      const mine = g.state === 'begun' && g.mark === s.mark && s.turn <= g.turn;
-      if (!mine || (s.to !== 'ran' && s.turn !== g.turn)) return no('stale', `${id} ${s.index} is not as you know it.`);
-      const { fence: _fence, ...rest } = g;
-      const idle = { ...rest, state: b.ended ? ('dropped' as const) : ('waiting' as const) };
-      if (s.to === 'unrun') return swap(b, s.index, idle, 'settled');
-      if (s.to === 'unsure' && g.repeated < b.spec.repeats && !b.ended)
-        return swap(b, s.index, { ...idle, repeated: g.repeated + 1 }, 'settled');
-      const told = (({ text, count, digest, why }) => ({ text, count, digest, why }))(s);
-      const kept = Object.fromEntries(Object.entries(told).filter(([, v]) => v !== undefined));
-      return swap(b, s.index, { ...rest, ...kept, state: s.to }, 'settled');
+    const settle = (burst: Burst, generation: Generation, request: CommandOf<'settle'>): Outcome => {
+      const alreadySettled =
+        generation.mark === request.mark &&
+        ((request.to === 'unrun' && generation.state === 'waiting') || generation.state === request.to);
+      if (alreadySettled) return acknowledge('settled', `${burstKey} ${request.index} is settled.`);
+      const isCurrentMark =
+        generation.state === 'begun' && generation.mark === request.mark && request.turn <= generation.turn;
+      if (!isCurrentMark || (request.to !== 'ran' && request.turn !== generation.turn))
+        return refuse('stale', `${burstKey} ${request.index} is not as you know it.`);
+      const { fence: _fence, ...withoutFence } = generation;
+      const reopened = { ...withoutFence, state: burst.ended ? ('dropped' as const) : ('waiting' as const) };
+      if (request.to === 'unrun') return replaceGeneration(burst, request.index, reopened, 'settled');
+      if (request.to === 'unsure' && generation.repeated < burst.spec.repeats && !burst.ended)
+        return replaceGeneration(burst, request.index, { ...reopened, repeated: generation.repeated + 1 }, 'settled');
+      const outcome = (({ text, count, digest, why }) => ({ text, count, digest, why }))(request);
+      const definedFields = Object.fromEntries(Object.entries(outcome).filter(([, v]) => v !== undefined));
+      return replaceGeneration(
+        burst,
+        request.index,
+        { ...withoutFence, ...definedFields, state: request.to },
+        'settled',
+      );
     };
 
-    if (c.do === 'begin') return begin(c.spec);
-    if (!held) return no('unknown', `There is no burst ${id}.`);
-    if (c.do === 'end') return end(held);
-    const g = held.generations[c.index];
-    if (!g) return no('unknown', `Burst ${id} has no generation ${c.index}.`);
-    return c.do === 'mark' ? mark(held, g, c) : settle(held, g, c);
+    if (command.do === 'begin') return begin(command.spec);
+    if (!existing) return refuse('unknown', `There is no burst ${burstKey}.`);
+    if (command.do === 'end') return end(existing);
+    const generation = existing.generations[command.index];
+    if (!generation) return refuse('unknown', `Burst ${burstKey} has no generation ${command.index}.`);
+    return command.do === 'mark' ? mark(existing, generation, command) : settle(existing, generation, command);
   },
 };
--- a/packages/registry/src/lending/burstsummary.ts
+++ b/packages/registry/src/lending/burstsummary.ts
@@ -2,7 +2,7 @@
 import type { Burst } from './burst.js';
 
 const count = Type.Integer({ minimum: 0 });
-const Form = Type.Object(
+const Schema = Type.Object(
   {
     key: Type.String(),
     rule: Type.String(),
@@ -21,13 +21,19 @@
 
 /** A burst in counts. */
 export const BurstSummary = {
-  schema: Form,
-  of(b: Burst): Static<typeof Form> {
-    const n = (state: string): number => b.generations.filter((g) => g.state === state).length;
+  schema: Schema,
+  of(burst: Burst): Static<typeof Schema> {
+    const countOf = (state: string): number => burst.generations.filter((g) => g.state === state).length;
     return {
-      ...{ key: b.spec.key, rule: b.spec.rule, order: b.order, ended: b.ended, gone: b.gone },
-      total: b.generations.length,
-      ...{ waiting: n('waiting'), begun: n('begun'), ran: n('ran'), unsure: n('unsure'), dropped: n('dropped') },
+      ...{ key: burst.spec.key, rule: burst.spec.rule, order: burst.order, ended: burst.ended, gone: burst.gone },
+      total: burst.generations.length,
+      ...{
+        waiting: countOf('waiting'),
+        begun: countOf('begun'),
+        ran: countOf('ran'),
+        unsure: countOf('unsure'),
+        dropped: countOf('dropped'),
+      },
     };
   },
 };
--- a/packages/registry/src/lending/burstwords.ts
+++ b/packages/registry/src/lending/burstwords.ts
@@ -3,11 +3,11 @@
 import { Burst } from './burst.js';
 import { BurstSummary } from './burstsummary.js';
 
-const shut = { additionalProperties: false } as const;
+const strict = { additionalProperties: false } as const;
 
 /** The forms of reading bursts at the tail. */
 export const BurstMessages = {
-  readRequest: Type.Object({ key: Type.Optional(Type.String()), texts: Type.Optional(Type.Boolean()) }, shut),
+  readRequest: Type.Object({ key: Type.Optional(Type.String()), texts: Type.Optional(Type.Boolean()) }, strict),
   readReply: Type.Object(
     {
       ok: Type.Boolean(),
@@ -15,6 +15,6 @@
       list: Type.Array(BurstSummary.schema),
       burst: Type.Union([Burst, Type.Null()]),
     },
-    shut,
+    strict,
   ),
 };
--- a/packages/registry/src/membership/addressbook.ts
+++ b/packages/registry/src/membership/addressbook.ts
@@ -6,9 +6,9 @@
 import { Views } from '../consensus/views.js';
 
 /** Lives whose address is remembered, and for how long after it was last heard. */
-const LIVES = 64;
-const KEEP = 60_000;
-type Who = { id: string; born: string };
+const MAX_ADDRESSES = 64;
+const ADDRESS_TTL_MS = 60_000;
+type Identity = { id: string; born: string };
 
 /**
  * Where core daemons are met. The view's addresses are those of the day it was agreed: who has moved since can not be
@@ -18,24 +18,31 @@
  */
 export const AddressBook = {
   make(world: World, post: PostBox, me: () => Member, cores: () => readonly string[]) {
-    const known = Fading.make<string>(world.clock.mono, LIVES);
-    const key = (w: Who): string => `${w.id}/${w.born}`;
-    let next = 0;
-    const note = (m: Member): void => known.set(key(m), m.addr, KEEP);
+    const addresses = Fading.make<string>(world.clock.mono, MAX_ADDRESSES);
+    const identityKey = (identity: Identity): string => `${identity.id}/${identity.born}`;
+    let nextSearchAt = 0;
+    const record = (member: Member): void => addresses.set(identityKey(member), member.addr, ADDRESS_TTL_MS);
     return {
-      note: note,
+      record: record,
       /** Where it last said that it is; else where the view has it. */
-      addressOf: (m: Member): string => known.get(key(m)) ?? m.addr,
+      addressOf: (member: Member): string => addresses.get(identityKey(member)) ?? member.addr,
       /** Asks at all addresses where cores may be who is there now, once a second at the most. */
       async search(view: View): Promise<void> {
-        if (world.clock.mono() < next) return;
-        next = world.clock.mono() + CoreTimings.addressSearchIntervalMs;
-        const addrs = new Set([...cores(), ...Views.all(view).map((m) => m.addr)]);
-        addrs.delete(me().addr);
+        if (world.clock.mono() < nextSearchAt) return;
+        nextSearchAt = world.clock.mono() + CoreTimings.addressSearchIntervalMs;
+        const targets = new Set([...cores(), ...Views.all(view).map((m) => m.addr)]);
+        targets.delete(me().addr);
         await Promise.all(
-          [...addrs].map(async (a) => {
-            const r = await post.ask(a, '', 'core.look', {}, CoreMessages.seen, CoreTimings.requestTimeoutMs);
-            if (r.ok) note(r.val.me);
+          [...targets].map(async (addr) => {
+            const reply = await post.ask(
+              addr,
+              '',
+              'core.look',
+              {},
+              CoreMessages.lookReply,
+              CoreTimings.requestTimeoutMs,
+            );
+            if (reply.ok) record(reply.val.me);
           }),
         );
       },
--- a/packages/registry/src/membership/failuredetector.test.ts
+++ b/packages/registry/src/membership/failuredetector.test.ts
@@ -23,8 +23,11 @@
       ),
   } as unknown as PostBox;
   const clock = { mono: () => now, wall: () => now, after: () => () => undefined };
-  const addresses = { of: (m: { addr: string }) => m.addr, search: () => Promise.resolve() } as unknown as AddressBook;
-  const voter = { grant: () => true } as unknown as Voter;
+  const addresses = {
+    addressOf: (m: { addr: string }) => m.addr,
+    search: () => Promise.resolve(),
+  } as unknown as AddressBook;
+  const voter = { grantLease: () => true } as unknown as Voter;
   const detector = FailureDetector.make({ clock } as unknown as World, post, () => k2, addresses, voter);
   return {
     detector,
--- a/packages/registry/src/membership/failuredetector.ts
+++ b/packages/registry/src/membership/failuredetector.ts
@@ -8,9 +8,9 @@
 import type { Voter } from '../consensus/voter.js';
 
 /** Lives of core daemons that are remembered, and for how long after their last word. */
-const LIVES = 64;
-const KEEP = 60_000;
-type Heard = { at: number; sick: boolean; fresh: boolean; epoch: number; me: Member };
+const MAX_MEMBERS = 64;
+const MEMBER_TTL_MS = 60_000;
+type Heartbeat = { at: number; sick: boolean; fresh: boolean; epoch: number; me: Member };
 
 /**
  * Beats between core daemons: who is there, and the lease that lets a chain member speak for the view.
@@ -19,89 +19,96 @@
  */
 export const FailureDetector = {
   make(world: World, post: PostBox, me: () => Member, addresses: AddressBook, voter: Voter) {
-    const heard = Fading.make<Heard>(world.clock.mono, LIVES);
-    const grants = new Map<string, number>();
-    const key = (m: Member): string => `${m.id}/${m.born}`;
+    const heartbeats = Fading.make<Heartbeat>(world.clock.mono, MAX_MEMBERS);
+    const leaseEnds = new Map<string, number>();
+    const identityKey = (m: Member): string => `${m.id}/${m.born}`;
     const now = (): number => world.clock.mono();
-    const seen = (m: Member, h: Omit<Heard, 'at' | 'me'>): void => {
-      heard.set(key(m), { ...h, me: m, at: now() }, KEEP);
+    const recordHeartbeat = (member: Member, heartbeat: Omit<Heartbeat, 'at' | 'me'>): void => {
+      heartbeats.set(identityKey(member), { ...heartbeat, me: member, at: now() }, MEMBER_TTL_MS);
     };
-    let since = now();
-    let slept = 0;
-    let eras = 0;
-    let best: View | null = null;
-    const asking = new Set<string>();
-    const empty = Fading.make<boolean>(world.clock.mono, LIVES);
+    let viewStartedAt = now();
+    let sleeps = 0;
+    let resets = 0;
+    let newestView: View | null = null;
+    const awaitingReply = new Set<string>();
+    const lostDisks = Fading.make<boolean>(world.clock.mono, MAX_MEMBERS);
     /** When the first beat went out of those that a member has not replied to since its last reply. */
-    const vain = new Map<string, number>();
+    const unansweredSince = new Map<string, number>();
     const awake = Awake.make(world.clock, () => {
-      grants.clear();
-      vain.clear();
-      slept++;
+      leaseEnds.clear();
+      unansweredSince.clear();
+      sleeps++;
     });
 
     return {
-      recordHeartbeat: seen,
-      lastHeartbeat: (m: Member): Heard | undefined => heard.get(key(m)),
+      recordHeartbeat: recordHeartbeat,
+      lastHeartbeat: (member: Member): Heartbeat | undefined => heartbeats.get(identityKey(member)),
       /** Silence, counted from the view's start for one never heard in it. */
-      silentForMs: (m: Member): number => now() - Math.max(heard.get(key(m))?.at ?? 0, since),
+      silentForMs: (member: Member): number =>
+        now() - Math.max(heartbeats.get(identityKey(member))?.at ?? 0, viewStartedAt),
       /** For how long it has replied to no beat, however much of it is heard. */
-      unansweredForMs: (m: Member): number => now() - (vain.get(key(m)) ?? now()),
+      unansweredForMs: (member: Member): number => now() - (unansweredSince.get(identityKey(member)) ?? now()),
       /** Whether its place was found taken by one of the same id and another life: so it is no more. */
-      hasLostDisk: (m: Member): boolean => empty.get(key(m)) === true,
+      hasLostDisk: (member: Member): boolean => lostDisks.get(identityKey(member)) === true,
       /** Lays down all leases, those still on their way too. */
       releaseLeases(): void {
-        grants.clear();
-        eras++;
+        leaseEnds.clear();
+        resets++;
       },
       reset(): void {
-        grants.clear();
-        vain.clear();
-        eras++;
-        since = now();
+        leaseEnds.clear();
+        unansweredSince.clear();
+        resets++;
+        viewStartedAt = now();
       },
       holdsLease(view: View | null): boolean {
         awake.look();
         if (!view || Views.place(view, me()) < 0) return false;
-        const n = view.voters.filter((m) => (grants.get(key(m)) ?? 0) > now()).length;
-        return n > view.voters.length / 2;
+        const grantCount = view.voters.filter((m) => (leaseEnds.get(identityKey(m)) ?? 0) > now()).length;
+        return grantCount > view.voters.length / 2;
       },
       /** One beat to every other member that has replied to the last; gives back the newest view met so far. */
       async sendHeartbeats(view: View, self: { sick: boolean; fresh: boolean }): Promise<View | null> {
         awake.look();
-        const at = now(),
-          before = slept,
-          era = eras,
-          inside = Views.place(view, me()) >= 0;
-        if (inside && Views.votes(view, me()) && voter.grantLease(view.epoch, CoreTimings.viewLeaseMs, me()))
-          grants.set(key(me()), at + CoreTimings.viewLeaseMs);
-        const ask = async (m: Member): Promise<void> => {
+        const sentAt = now(),
+          sleepsBefore = sleeps,
+          resetsBefore = resets,
+          isInChain = Views.place(view, me()) >= 0;
+        if (isInChain && Views.votes(view, me()) && voter.grantLease(view.epoch, CoreTimings.viewLeaseMs, me()))
+          leaseEnds.set(identityKey(me()), sentAt + CoreTimings.viewLeaseMs);
+        const sendHeartbeat = async (member: Member): Promise<void> => {
           const body = { me: me(), epoch: view.epoch, ...self };
-          const r = await post.ask(
-            addresses.addressOf(m),
-            m.id,
+          const reply = await post.ask(
+            addresses.addressOf(member),
+            member.id,
             'core.beat',
             body,
-            CoreMessages.beaten,
+            CoreMessages.heartbeatReply,
             CoreTimings.requestTimeoutMs,
           );
-          asking.delete(key(m));
+          awaitingReply.delete(identityKey(member));
           awake.look();
-          if (!r.ok) void addresses.search(view);
-          if (slept !== before) return;
-          if (r.ok) vain.delete(key(m));
-          else if (era === eras && !vain.has(key(m))) vain.set(key(m), at);
-          if (!r.ok) return;
-          if (r.val.me.id === m.id && r.val.me.born !== m.born) empty.set(key(m), true, KEEP);
-          if (!Views.same(r.val.me, m)) return;
-          seen(m, { sick: r.val.sick, fresh: r.val.fresh, epoch: r.val.view?.epoch ?? 0 });
-          if (r.val.claim && Views.votes(view, m) && era === eras) grants.set(key(m), at + CoreTimings.viewLeaseMs);
-          if (r.val.view && r.val.view.epoch > (best?.epoch ?? 0)) best = r.val.view;
+          if (!reply.ok) void addresses.search(view);
+          if (sleeps !== sleepsBefore) return;
+          if (reply.ok) unansweredSince.delete(identityKey(member));
+          else if (resetsBefore === resets && !unansweredSince.has(identityKey(member)))
+            unansweredSince.set(identityKey(member), sentAt);
+          if (!reply.ok) return;
+          if (reply.val.me.id === member.id && reply.val.me.born !== member.born)
+            lostDisks.set(identityKey(member), true, MEMBER_TTL_MS);
+          if (!Views.same(reply.val.me, member)) return;
+          recordHeartbeat(member, { sick: reply.val.sick, fresh: reply.val.fresh, epoch: reply.val.view?.epoch ?? 0 });
+          if (reply.val.claim && Views.votes(view, member) && resetsBefore === resets)
+            leaseEnds.set(identityKey(member), sentAt + CoreTimings.viewLeaseMs);
+          if (reply.val.view && reply.val.view.epoch > (newestView?.epoch ?? 0)) newestView = reply.val.view;
         };
-        const due = Views.all(view).filter((m) => !Views.same(m, me()) && !asking.has(key(m)));
-        for (const m of due) asking.add(key(m));
-        await Promise.race([Promise.all(due.map(ask)), Timer.nap(world.clock, CoreTimings.heartbeatIntervalMs)]);
-        return best;
+        const targets = Views.all(view).filter((m) => !Views.same(m, me()) && !awaitingReply.has(identityKey(m)));
+        for (const m of targets) awaitingReply.add(identityKey(m));
+        await Promise.race([
+          Promise.all(targets.map(sendHeartbeat)),
+          Timer.nap(world.clock, CoreTimings.heartbeatIntervalMs),
+        ]);
+        return newestView;
       },
     };
   },
--- a/packages/registry/src/membership/livedaemons.ts
+++ b/packages/registry/src/membership/livedaemons.ts
@@ -2,7 +2,7 @@
 import { CoreTimings } from '../coretimings.js';
 
 type Load = { read: number; write: number };
-type Seen = { who: Ident; at: number; version: number; sum: string; load: Load };
+type Entry = { who: Ident; lastSeenAt: number; version: number; sum: string; load: Load };
 
 /**
  * Who is live, as the head has heard. Soft: lost with the head and learnt again.
@@ -10,34 +10,43 @@
  */
 export const LiveDaemons = {
   make(clock: Clock) {
-    let seen: ReadonlyMap<string, Seen> = new Map();
-    let since = clock.mono();
-    const live = (): Seen[] => [...seen.values()].filter((s) => clock.mono() - s.at < CoreTimings.daemonExpiryMs);
+    let entries: ReadonlyMap<string, Entry> = new Map();
+    let listeningSince = clock.mono();
+    const liveEntries = (): Entry[] =>
+      [...entries.values()].filter((s) => clock.mono() - s.lastSeenAt < CoreTimings.daemonExpiryMs);
     return {
       reset(): void {
-        seen = new Map();
-        since = clock.mono();
+        entries = new Map();
+        listeningSince = clock.mono();
       },
       note(who: Ident, version: number, sum: string, load: Load): void {
-        const next = new Map(seen);
-        next.set(who.id, { who, version, sum, load, at: clock.mono() });
-        seen = next;
+        const next = new Map(entries);
+        next.set(who.id, { who, version, sum, load, lastSeenAt: clock.mono() });
+        entries = next;
       },
       remove(id: string): void {
-        const next = new Map(seen);
+        const next = new Map(entries);
         next.delete(id);
-        seen = next;
+        entries = next;
       },
       roster: (): Ident[] | null =>
-        clock.mono() - since < CoreTimings.daemonExpiryMs
+        clock.mono() - listeningSince < CoreTimings.daemonExpiryMs
           ? null
-          : live()
+          : liveEntries()
               .map((s) => s.who)
               .sort((a, b) => (a.id < b.id ? -1 : 1)),
       load: (): Load =>
-        live().reduce((a, s) => ({ read: a.read + s.load.read, write: a.write + s.load.write }), { read: 0, write: 0 }),
+        liveEntries().reduce((a, s) => ({ read: a.read + s.load.read, write: a.write + s.load.write }), {
+          read: 0,
+          write: 0,
+        }),
       withAges: () =>
-        [...seen.values()].map((s) => ({ who: s.who, version: s.version, sum: s.sum, age: clock.mono() - s.at })),
+        [...entries.values()].map((s) => ({
+          who: s.who,
+          version: s.version,
+          sum: s.sum,
+          age: clock.mono() - s.lastSeenAt,
+        })),
     };
   },
 };
--- a/packages/registry/src/membership/repairtask.test.ts
+++ b/packages/registry/src/membership/repairtask.test.ts
@@ -21,17 +21,17 @@
   let at = 0;
   const proposed: View[] = [];
   const detector = {
-    live: () => how.live?.(at) ?? true,
-    silent: (m: Member) => (how.silent?.includes(m.id) ? 20_000 : 0),
-    deaf: (m: Member) => (how.deaf?.includes(m.id) ? at : 0),
-    heard: (m: Member) => (how.fresh?.includes(m.id) ? { fresh: true, epoch: VIEW.epoch } : undefined),
-    emptied: (m: Member) => how.emptied?.includes(m.id) === true,
+    holdsLease: () => how.live?.(at) ?? true,
+    silentForMs: (m: Member) => (how.silent?.includes(m.id) ? 20_000 : 0),
+    unansweredForMs: (m: Member) => (how.deaf?.includes(m.id) ? at : 0),
+    lastHeartbeat: (m: Member) => (how.fresh?.includes(m.id) ? { fresh: true, epoch: VIEW.epoch } : undefined),
+    hasLostDisk: (m: Member) => how.emptied?.includes(m.id) === true,
   };
   const viewChanger = {
-    busy: () => false,
+    isBusy: () => false,
     propose: (_: unknown, next: View) => Promise.resolve(proposed.push(next) > 0),
   };
-  const chain = { remend: () => undefined, fresh: () => false };
+  const chain = { resync: () => undefined, fresh: () => false };
   const task = RepairTask.make(
     () => member(me),
     () => at,
@@ -42,7 +42,7 @@
   return {
     task,
     proposed,
-    mind(v: View, ms: number): void {
+    checkMembers(v: View, ms: number): void {
       for (; at < ms; at += 150) task.checkMembers(v);
     },
   };
@@ -59,7 +59,7 @@
   for (const [name, { live, me, ms }, want] of cases) {
     it(name, () => {
       const r = repairing(me, { live });
-      r.mind(VIEW, ms);
+      r.checkMembers(VIEW, ms);
       expect(r.proposed[0]?.epoch ?? null).to.equal(want);
       if (want) expect(r.proposed[0]!.chain).to.deep.equal(VIEW.chain);
     });
@@ -75,7 +75,7 @@
   for (const [name, { deaf, me, ms }, want] of lost) {
     it(name, () => {
       const r = repairing(me, { deaf });
-      r.mind(VIEW, ms);
+      r.checkMembers(VIEW, ms);
       expect(r.proposed[0]?.chain.map((x) => x.id) ?? null).to.deep.equal(want);
     });
   }
@@ -98,7 +98,7 @@
   for (const [name, { me, ...how }, want] of few) {
     it(name, () => {
       const r = repairing(me, how);
-      r.mind(alone, 4000);
+      r.checkMembers(alone, 4000);
       expect(text(r.proposed[0])).to.equal(want);
     });
   }
--- a/packages/registry/src/membership/repairtask.ts
+++ b/packages/registry/src/membership/repairtask.ts
@@ -8,9 +8,9 @@
 import { Views } from '../consensus/views.js';
 
 /** ms without a lease, though all are heard, after which the view is made anew. */
-const LAME = 2 * CoreTimings.suspectAfterMs;
+const NO_LEASE_TIMEOUT_MS = 2 * CoreTimings.suspectAfterMs;
 /** ms for which a member that is heard may leave our beats without a reply: what is sent to it is lost. */
-const DEAF = 2 * CoreTimings.suspectAfterMs;
+const UNANSWERED_TIMEOUT_MS = 2 * CoreTimings.suspectAfterMs;
 
 /**
  * What a member of the chain that votes does about the others: those that are silent, deaf or sick go out of the
@@ -21,118 +21,125 @@
  */
 export const RepairTask = {
   make(me: () => Member, mono: () => number, detector: FailureDetector, viewChanger: ViewChanger, chain: Chain) {
-    const mine = (m: Member): boolean => Views.same(m, me());
-    const unwell = (m: Member): boolean => detector.lastHeartbeat(m)?.sick === true || detector.hasLostDisk(m);
+    const isSelf = (member: Member): boolean => Views.same(member, me());
+    const isFaulty = (member: Member): boolean =>
+      detector.lastHeartbeat(member)?.sick === true || detector.hasLostDisk(member);
     /** One that a majority does not reply to is cut off itself, and can't tell who else is. */
-    const replied = (v: View): boolean =>
-      v.voters.filter((m) => mine(m) || detector.unansweredForMs(m) < CoreTimings.suspectAfterMs).length >=
-      Views.most(v);
-    const late = (v: View, m: Member, turn: number): boolean =>
-      detector.silentForMs(m) > CoreTimings.suspectAfterMs + turn ||
-      (detector.unansweredForMs(m) > DEAF + turn && replied(v));
-    const gone = (v: View, m: Member): boolean => unwell(m) || late(v, m, 0);
-    const isFresh = (v: View, m: Member): boolean => {
-      const h = detector.lastHeartbeat(m);
-      return h?.fresh === true && h.epoch === v.epoch;
+    const majorityReplies = (view: View): boolean =>
+      view.voters.filter((m) => isSelf(m) || detector.unansweredForMs(m) < CoreTimings.suspectAfterMs).length >=
+      Views.most(view);
+    const isUnresponsive = (view: View, member: Member, delayMs: number): boolean =>
+      detector.silentForMs(member) > CoreTimings.suspectAfterMs + delayMs ||
+      (detector.unansweredForMs(member) > UNANSWERED_TIMEOUT_MS + delayMs && majorityReplies(view));
+    const shouldRemove = (view: View, member: Member): boolean => isFaulty(member) || isUnresponsive(view, member, 0);
+    const isFresh = (view: View, member: Member): boolean => {
+      const heartbeat = detector.lastHeartbeat(member);
+      return heartbeat?.fresh === true && heartbeat.epoch === view.epoch;
     };
     /** Members without a vote that hold all of this view. */
-    const caught = (v: View): Member[] => v.chain.filter((m) => !mine(m) && !Views.votes(v, m) && isFresh(v, m));
-    const known = (v: View) => ({
-      fresh: (m: Member): boolean => (mine(m) ? chain.fresh() : isFresh(v, m)),
+    const caughtUpNonVoters = (view: View): Member[] =>
+      view.chain.filter((m) => !isSelf(m) && !Views.votes(view, m) && isFresh(view, m));
+    const knowledge = (view: View) => ({
+      fresh: (m: Member): boolean => (isSelf(m) ? chain.fresh() : isFresh(view, m)),
       emptied: (m: Member): boolean => detector.hasLostDisk(m),
     });
-    const propose = (v: View, next: View | null, why: string): void => {
-      if (next) void viewChanger.propose(v.voters, next, why);
+    const propose = (view: View, next: View | null, reason: string): void => {
+      if (next) void viewChanger.propose(view.voters, next, reason);
     };
     /** A member of the reserve as the head, if one is heard and all complete members of the chain are away. */
-    const promotion = (v: View, away: readonly Member[]): View | null => {
-      const heard = (m: Member): boolean =>
-        mine(m) || (detector.silentForMs(m) < CoreTimings.suspectAfterMs && !unwell(m));
-      const heir = (v.reserve ?? []).find(heard);
-      return heir ? NextViews.promoting(v, heir, away, known(v)) : null;
+    const reserveTakeover = (view: View, away: readonly Member[]): View | null => {
+      const isReachable = (m: Member): boolean =>
+        isSelf(m) || (detector.silentForMs(m) < CoreTimings.suspectAfterMs && !isFaulty(m));
+      const newHead = (view.reserve ?? []).find(isReachable);
+      return newHead ? NextViews.promoting(view, newHead, away, knowledge(view)) : null;
     };
-    const shorten = (v: View, list: readonly Member[]): void => {
-      const up = v.voters.filter((m) => mine(m) || detector.silentForMs(m) < CoreTimings.suspectAfterMs);
-      const turn = up.findIndex(mine) * 300;
-      const due = list.find((m) => unwell(m) || late(v, m, turn));
-      if (!due) return;
-      const how = detector.lastHeartbeat(due)?.sick
+    const removeMembers = (view: View, faulty: readonly Member[]): void => {
+      const reachableVoters = view.voters.filter(
+        (m) => isSelf(m) || detector.silentForMs(m) < CoreTimings.suspectAfterMs,
+      );
+      const delayMs = reachableVoters.findIndex(isSelf) * 300;
+      const trigger = faulty.find((m) => isFaulty(m) || isUnresponsive(view, m, delayMs));
+      if (!trigger) return;
+      const cause = detector.lastHeartbeat(trigger)?.sick
         ? 'sick'
-        : detector.hasLostDisk(due)
+        : detector.hasLostDisk(trigger)
           ? 'emptied'
-          : detector.silentForMs(due) > CoreTimings.suspectAfterMs
+          : detector.silentForMs(trigger) > CoreTimings.suspectAfterMs
             ? 'silent'
             : 'deaf';
-      const why = `${list.map((m) => m.id).join(', ')}: ${how}.`;
-      propose(v, NextViews.without(v, list, known(v)) ?? promotion(v, list), why);
+      const reason = `${faulty.map((m) => m.id).join(', ')}: ${cause}.`;
+      propose(view, NextViews.without(view, faulty, knowledge(view)) ?? reserveTakeover(view, faulty), reason);
     };
     /** Who takes whose vote, if there is such a change to be made. */
-    const handing = (v: View): { heir: Member; old: Member } | null => {
-      const list = caught(v);
-      for (const heir of list) {
-        const old = v.voters.find((x) => x.id === heir.id);
-        if (old) return { heir, old };
+    const voteTransfer = (view: View): { newVoter: Member; oldVoter: Member } | null => {
+      const caughtUp = caughtUpNonVoters(view);
+      for (const newVoter of caughtUp) {
+        const oldVoter = view.voters.find((x) => x.id === newVoter.id);
+        if (oldVoter) return { newVoter: newVoter, oldVoter: oldVoter };
       }
-      const named = (x: Member): boolean => v.chain.some((m) => m.id === x.id);
-      const old = v.voters.find((x) => !mine(x) && !named(x) && detector.silentForMs(x) > CoreTimings.suspectAfterMs);
-      return list[0] && old ? { heir: list[0], old } : null;
+      const hasNamesake = (x: Member): boolean => view.chain.some((m) => m.id === x.id);
+      const oldVoter = view.voters.find(
+        (x) => !isSelf(x) && !hasNamesake(x) && detector.silentForMs(x) > CoreTimings.suspectAfterMs,
+      );
+      return caughtUp[0] && oldVoter ? { newVoter: caughtUp[0], oldVoter: oldVoter } : null;
     };
-    let since: number | null = null;
-    const renew = (v: View): void => {
-      const turn = v.voters.findIndex(mine) * 300;
-      if (detector.holdsLease(v)) since = null;
-      else since ??= mono();
-      if (since === null || mono() - since <= LAME + turn) return;
-      since = null;
-      propose(v, NextViews.without(v, [], known(v)), 'No lease was granted, though all are heard.');
+    let noLeaseSince: number | null = null;
+    const renewView = (view: View): void => {
+      const delayMs = view.voters.findIndex(isSelf) * 300;
+      if (detector.holdsLease(view)) noLeaseSince = null;
+      else noLeaseSince ??= mono();
+      if (noLeaseSince === null || mono() - noLeaseSince <= NO_LEASE_TIMEOUT_MS + delayMs) return;
+      noLeaseSince = null;
+      propose(view, NextViews.without(view, [], knowledge(view)), 'No lease was granted, though all are heard.');
     };
     /** Records as complete those that have caught up, where nothing is confirmed before that. */
-    const complete = (v: View): void => {
-      const most = Views.most(v);
-      if (Views.complete(v).length >= most || !mine(Views.head(v))) return;
-      const next = NextViews.without(v, [], known(v));
-      if (next && Views.complete(next).length >= most) propose(v, next, 'Enough members are complete again.');
+    const recordCompletion = (view: View): void => {
+      const majority = Views.most(view);
+      if (Views.complete(view).length >= majority || !isSelf(Views.head(view))) return;
+      const next = NextViews.without(view, [], knowledge(view));
+      if (next && Views.complete(next).length >= majority) propose(view, next, 'Enough members are complete again.');
     };
     return {
       /** The view in which a member that asks to join stands at the tail; null if there is none. */
-      viewWithNewcomer: (v: View, m: Member): View | null => NextViews.withTail(v, m, known(v)),
+      viewWithNewcomer: (view: View, newcomer: Member): View | null =>
+        NextViews.withTail(view, newcomer, knowledge(view)),
       /** What a member of the reserve does: it becomes the head once the whole chain that could lead is away. */
-      takeOverFromReserve(v: View): void {
-        if (viewChanger.isBusy() || !Views.votes(v, me()) || !Views.isInReserve(v, me())) return;
-        const away = v.chain.filter((m) => gone(v, m));
-        propose(v, promotion(v, away), `${me().id} leads from the reserve.`);
+      takeOverFromReserve(view: View): void {
+        if (viewChanger.isBusy() || !Views.votes(view, me()) || !Views.isInReserve(view, me())) return;
+        const away = view.chain.filter((m) => shouldRemove(view, m));
+        propose(view, reserveTakeover(view, away), `${me().id} leads from the reserve.`);
       },
-      checkMembers(v: View): void {
-        if (viewChanger.isBusy() || !Views.votes(v, me())) return;
-        const mates = v.chain.filter((m) => !mine(m));
-        const list = mates.filter((m) => gone(v, m));
-        if (list.length > 0) {
-          shorten(v, list);
+      checkMembers(view: View): void {
+        if (viewChanger.isBusy() || !Views.votes(view, me())) return;
+        const peers = view.chain.filter((m) => !isSelf(m));
+        const faulty = peers.filter((m) => shouldRemove(view, m));
+        if (faulty.length > 0) {
+          removeMembers(view, faulty);
           return;
         }
-        renew(v);
+        renewView(view);
         if (viewChanger.isBusy()) return;
-        const hand = handing(v);
-        if (hand) {
-          const why = `${hand.heir.id} has caught up and votes.`;
-          propose(v, NextViews.withVoter(v, hand.heir, hand.old, known(v)), why);
+        const transfer = voteTransfer(view);
+        if (transfer) {
+          const why = `${transfer.newVoter.id} has caught up and votes.`;
+          propose(view, NextViews.withVoter(view, transfer.newVoter, transfer.oldVoter, knowledge(view)), why);
           return;
         }
-        complete(v);
+        recordCompletion(view);
         if (viewChanger.isBusy()) return;
-        const behind = mates.some((m) => {
-          const h = detector.lastHeartbeat(m);
-          return h && !h.fresh && h.epoch === v.epoch;
+        const behind = peers.some((m) => {
+          const heartbeat = detector.lastHeartbeat(m);
+          return heartbeat && !heartbeat.fresh && heartbeat.epoch === view.epoch;
         });
-        if (Views.same(Views.head(v), me()) && behind) chain.resync();
+        if (Views.same(Views.head(view), me()) && behind) chain.resync();
       },
       /** Proposes the view without this daemon; its vote goes along if there is one to take it. */
-      async leave(v: View): Promise<boolean> {
-        const next = NextViews.without(v, [me()], known(v));
-        if (!next || Views.complete(next).length < Views.most(v)) return false;
-        const heir = Views.votes(v, me()) ? caught(v)[0] : undefined;
-        const voters = heir ? v.voters.map((x) => (mine(x) ? heir : x)) : v.voters;
-        return viewChanger.propose(v.voters, { ...next, voters }, `${me().id} leaves.`);
+      async leave(view: View): Promise<boolean> {
+        const next = NextViews.without(view, [me()], knowledge(view));
+        if (!next || Views.complete(next).length < Views.most(view)) return false;
+        const newVoter = Views.votes(view, me()) ? caughtUpNonVoters(view)[0] : undefined;
+        const voters = newVoter ? view.voters.map((x) => (isSelf(x) ? newVoter : x)) : view.voters;
+        return viewChanger.propose(view.voters, { ...next, voters }, `${me().id} leaves.`);
       },
     };
   },
--- a/packages/registry/src/registrar.ts
+++ b/packages/registry/src/registrar.ts
@@ -27,36 +27,41 @@
     if (!world.disk) return Err('a core daemon needs a data folder') as Result<never, string>;
     const store = Store.make(world, world.disk);
     const log = world.log('core');
-    const kept = await store.load();
-    if (kept.err) return Err(kept.val) as Result<never, string>;
-    if (kept.val.bad) log.warn('A damaged file was found; all were set aside. Rejoining as a newcomer.');
-    const born = await Self.born(world, store, kept.val.born);
-    if (born.err) return Err(born.val) as Result<never, string>;
-    const { seq, charter } = kept.val.state;
-    const disk =
-      kept.val.born === null ? 'with an empty disk' : `holding ${seq}, configuration ${charter?.version ?? 0}`;
-    log.say(`Started as ${settings.id}/${born.val} ${disk}, view ${kept.val.view?.epoch ?? 0}.`);
+    const restored = await store.load();
+    if (restored.err) return Err(restored.val) as Result<never, string>;
+    if (restored.val.bad) log.warn('A damaged file was found; all were set aside. Rejoining as a newcomer.');
+    const incarnation = await Self.born(world, store, restored.val.born);
+    if (incarnation.err) return Err(incarnation.val) as Result<never, string>;
+    const { seq, charter } = restored.val.state;
+    const diskSummary =
+      restored.val.born === null ? 'with an empty disk' : `holding ${seq}, configuration ${charter?.version ?? 0}`;
+    log.say(`Started as ${settings.id}/${incarnation.val} ${diskSummary}, view ${restored.val.view?.epoch ?? 0}.`);
     const ident: Ident = {
       id: settings.id,
-      born: born.val,
+      born: incarnation.val,
       addr: settings.addr,
       site: settings.site,
       role: 'registry',
     };
     const post = Post.make(world, () => ident);
-    const shelf = Shelf.make(settings.sound ?? RecordCheck.doc);
-    const given = settings.seeds;
-    const seeds = (): readonly string[] => (typeof given === 'function' ? given() : given);
+    const recordStore = Shelf.make(settings.sound ?? RecordCheck.doc);
+    const configuredSeeds = settings.seeds;
+    const seeds = (): readonly string[] =>
+      typeof configuredSeeds === 'function' ? configuredSeeds() : configuredSeeds;
     const purge = Purge.make(
       world,
       post,
       () => ident,
-      shelf,
+      recordStore,
       settings.tunes,
       seeds,
-      (): readonly Ident[] => [...Views.idents(core.view()), ...core.service.live(), ...(settings.known?.() ?? [])],
+      (): readonly Ident[] => [
+        ...Views.idents(core.view()),
+        ...core.service.liveDaemons(),
+        ...(settings.known?.() ?? []),
+      ],
     );
-    const cores = (): string[] => [
+    const coreAddresses = (): string[] => [
       ...new Set([
         ...seeds(),
         ...purge
@@ -65,18 +70,18 @@
           .map((p) => p.addr),
       ]),
     ];
-    const core = Core.make(world, post, () => ident, store, kept.val, {
-      cores,
+    const core = Core.make(world, post, () => ident, store, restored.val, {
+      coreAddresses: coreAddresses,
       seeds,
       losses: settings.losses ?? 1,
-      first: settings.first ?? true,
-      passed: (s) => {
-        if (!s.charter || s.charter.version <= (shelf.mark('charter')?.[0] ?? 0)) return;
-        world.tell({ what: 'confirmed', version: s.charter.version, plan: s.charter.plan });
+      mayFormFirstView: settings.first ?? true,
+      onCommitted: (state) => {
+        if (!state.charter || state.charter.version <= (recordStore.mark('charter')?.[0] ?? 0)) return;
+        world.tell({ what: 'confirmed', version: state.charter.version, plan: state.charter.plan });
         purge.publish({
           name: 'charter',
-          mark: [s.charter.version, 0],
-          body: { version: s.charter.version, plan: s.charter.plan, charter: s.charter.body },
+          mark: [state.charter.version, 0],
+          body: { version: state.charter.version, plan: state.charter.plan, charter: state.charter.body },
         });
       },
     });
@@ -84,17 +89,17 @@
       post,
       () => ident,
       purge,
-      shelf,
+      recordStore,
       () => core.live() && core.chain.passed() !== null,
     );
     return Ok({
       ident,
       core,
       purge,
-      shelf: shelf,
+      shelf: recordStore,
       post,
       /** Reads and writes as any other daemon does; the head or the tail may be this one. */
-      line: ControlClient.make(world, post, cores, core.view),
+      line: ControlClient.make(world, post, coreAddresses, core.view),
       start(): void {
         core.start();
         purge.start();
--- a/packages/registry/src/service/coredesk.ts
+++ b/packages/registry/src/service/coredesk.ts
@@ -10,7 +10,7 @@
 
 type Hooks = {
   view: () => View | null;
-  live: () => boolean;
+  holdsLease: () => boolean;
   chain: Chain;
   isTail: () => boolean;
   isHead: () => boolean;
@@ -18,57 +18,72 @@
 
 /** Where other daemons come to the core: commands and check-ins at the head, reading at the tail, the view anywhere. */
 export const CoreService = {
-  make(world: World, post: PostBox, h: Hooks) {
-    const roll = LiveDaemons.make(world.clock);
-    const leases = NamedLeases.make(world.clock, h.chain, h.live);
-    let head = false;
+  make(world: World, post: PostBox, hooks: Hooks) {
+    const liveDaemons = LiveDaemons.make(world.clock);
+    const leases = NamedLeases.make(world.clock, hooks.chain, hooks.holdsLease);
+    let leading = false;
 
     post.on('core.write', CoreMessages.write, async (body) => {
-      const c = body.command;
-      if (c.do === 'plan' || c.do === 'replace') {
-        const faults = Clauses.faults(c.do === 'plan' ? c.charter : c.intent);
-        if (faults.length > 0) return { ruling: { verdict: Verdicts.bad(faults) }, term: 0, view: h.view() };
+      const command = body.command;
+      if (command.do === 'plan' || command.do === 'replace') {
+        const faults = Clauses.faults(command.do === 'plan' ? command.charter : command.intent);
+        if (faults.length > 0) return { ruling: { verdict: Verdicts.bad(faults) }, term: 0, view: hooks.view() };
       }
-      if (!head || !h.live()) return { ruling: null, term: 0, view: h.view() };
-      if (c.do === 'begin' && h.chain.isReady() && !BurstAdmission.mayBegin(h.chain.passed(), c.spec))
-        return { ruling: { verdict: BurstAdmission.refusal(c.spec.rule) }, term: 0, view: h.view() };
-      const ruling = c.do === 'claim' ? await leases.acquire(c.name, c.id, c.born) : await h.chain.write(c);
-      return { ruling, term: c.do === 'claim' && ruling.fence !== undefined ? CoreTimings.lease : 0, view: h.view() };
+      if (!leading || !hooks.holdsLease()) return { ruling: null, term: 0, view: hooks.view() };
+      if (
+        command.do === 'begin' &&
+        hooks.chain.isReady() &&
+        !BurstAdmission.mayBegin(hooks.chain.passed(), command.spec)
+      )
+        return { ruling: { verdict: BurstAdmission.refusal(command.spec.rule) }, term: 0, view: hooks.view() };
+      const result =
+        command.do === 'claim'
+          ? await leases.acquire(command.name, command.id, command.born)
+          : await hooks.chain.write(command);
+      return {
+        ruling: result,
+        term: command.do === 'claim' && result.fence !== undefined ? CoreTimings.lease : 0,
+        view: hooks.view(),
+      };
     });
     post.on('core.read', CoreMessages.read, (body) => {
-      const s = h.chain.passed();
-      if (!s || !h.isTail() || !h.live()) return { ok: false, view: h.view(), charter: null, plan: null };
-      const plan = body.plan === undefined ? null : (s.plans.find((p) => p.id === body.plan) ?? null);
-      return { ok: true, view: h.view(), charter: s.charter, plan };
+      const state = hooks.chain.passed();
+      if (!state || !hooks.isTail() || !hooks.holdsLease())
+        return { ok: false, view: hooks.view(), charter: null, plan: null };
+      const plan = body.plan === undefined ? null : (state.plans.find((p) => p.id === body.plan) ?? null);
+      return { ok: true, view: hooks.view(), charter: state.charter, plan };
+    });
+    BurstService.make(post, {
+      view: hooks.view,
+      read: () => (hooks.isTail() && hooks.holdsLease() ? hooks.chain.passed() : null),
     });
-    BurstService.make(post, { view: h.view, read: () => (h.isTail() && h.live() ? h.chain.passed() : null) });
-    post.on('core.checkin', CoreMessages.checkin, (body, from) => {
-      const ok = head && h.live();
-      if (ok) roll.note(from, body.version, body.sum, body.load);
+    post.on('core.checkin', CoreMessages.checkIn, (body, from) => {
+      const ok = leading && hooks.holdsLease();
+      if (ok) liveDaemons.note(from, body.version, body.sum, body.load);
       return {
         ok,
-        view: h.view(),
-        version: h.chain.passed()?.charter?.version ?? 0,
-        roster: ok ? roll.roster() : null,
-        load: roll.load(),
+        view: hooks.view(),
+        version: hooks.chain.passed()?.charter?.version ?? 0,
+        roster: ok ? liveDaemons.roster() : null,
+        load: liveDaemons.load(),
       };
     });
     post.on('core.leave', CoreMessages.leave, (body, from) => {
-      for (const n of body.names) leases.release(n, from.id, from.born);
-      roll.remove(from.id);
+      for (const name of body.names) leases.release(name, from.id, from.born);
+      liveDaemons.remove(from.id);
       return { ok: true };
     });
-    post.on('core.roll', CoreMessages.look, () => ({
-      view: h.view(),
-      roster: head && h.live() ? roll.withAges() : [],
+    post.on('core.roll', CoreMessages.empty, () => ({
+      view: hooks.view(),
+      roster: leading && hooks.holdsLease() ? liveDaemons.withAges() : [],
     }));
 
     return {
-      live: () => roll.roster() ?? [],
+      liveDaemons: () => liveDaemons.roster() ?? [],
       onViewChange(): void {
-        const mine = h.isHead();
-        if (!head || !mine) roll.reset();
-        head = mine;
+        const leads = hooks.isHead();
+        if (!leading || !leads) liveDaemons.reset();
+        leading = leads;
         leases.onViewChange();
       },
     };
--- a/packages/registry/src/service/coremessages.ts
+++ b/packages/registry/src/service/coremessages.ts
@@ -9,76 +9,82 @@
 import { View } from '../consensus/view.js';
 import { Vote } from '../consensus/vote.js';
 
-const shut = { additionalProperties: false } as const;
-const maybeView = Type.Union([View, Type.Null()]);
+const strict = { additionalProperties: false } as const;
+const nullableView = Type.Union([View, Type.Null()]);
 
 /** The forms of what the core says, and of what is said to it. */
 export const CoreMessages = {
-  beat: Type.Object({ me: Member, epoch: Type.Integer(), sick: Type.Boolean(), fresh: Type.Boolean() }, shut),
-  beaten: Type.Object(
-    { me: Member, view: maybeView, claim: Type.Boolean(), sick: Type.Boolean(), fresh: Type.Boolean() },
-    shut,
+  heartbeat: Type.Object({ me: Member, epoch: Type.Integer(), sick: Type.Boolean(), fresh: Type.Boolean() }, strict),
+  heartbeatReply: Type.Object(
+    { me: Member, view: nullableView, claim: Type.Boolean(), sick: Type.Boolean(), fresh: Type.Boolean() },
+    strict,
   ),
-  prepare: Type.Object({ epoch: Type.Integer(), ballot: Type.Integer() }, shut),
-  prepared: Type.Object(
-    { ok: Type.Boolean(), wait: Type.Number(), promised: Type.Integer(), took: Vote.properties.took, view: maybeView },
-    shut,
+  prepare: Type.Object({ epoch: Type.Integer(), ballot: Type.Integer() }, strict),
+  prepareReply: Type.Object(
+    {
+      ok: Type.Boolean(),
+      wait: Type.Number(),
+      promised: Type.Integer(),
+      took: Vote.properties.took,
+      view: nullableView,
+    },
+    strict,
   ),
-  accept: Type.Object({ epoch: Type.Integer(), ballot: Type.Integer(), view: View }, shut),
-  accepted: Type.Object({ ok: Type.Boolean(), promised: Type.Integer(), view: maybeView }, shut),
-  view: Type.Object({ view: View }, shut),
-  look: Type.Object({}, shut),
-  rest: Type.Object({ epoch: Type.Integer() }, shut),
-  meet: Type.Object({ me: Member }, shut),
-  met: Type.Object({ view: maybeView, took: maybeView, me: Member, met: Type.Array(Member) }, shut),
-  hint: Type.Object({ view: maybeView }, shut),
-  seen: Type.Object({ view: maybeView, took: maybeView, me: Member }, shut),
-  join: Type.Object({ me: Member }, shut),
-  done: Type.Object({ ok: Type.Boolean() }, shut),
-  push: Type.Object({ epoch: Type.Integer(), state: CoreState }, shut),
-  change: Type.Object({ epoch: Type.Integer(), change: StateChange }, shut),
-  changed: Type.Object({ ok: Type.Boolean(), lacking: Type.Boolean() }, shut),
-  write: Type.Object({ command: Command }, shut),
-  written: Type.Object(
-    { ruling: Type.Union([CommandResult, Type.Null()]), term: Type.Number(), view: maybeView },
-    shut,
+  accept: Type.Object({ epoch: Type.Integer(), ballot: Type.Integer(), view: View }, strict),
+  acceptReply: Type.Object({ ok: Type.Boolean(), promised: Type.Integer(), view: nullableView }, strict),
+  viewNotice: Type.Object({ view: View }, strict),
+  empty: Type.Object({}, strict),
+  leaseRecall: Type.Object({ epoch: Type.Integer() }, strict),
+  meet: Type.Object({ me: Member }, strict),
+  meetReply: Type.Object({ view: nullableView, took: nullableView, me: Member, met: Type.Array(Member) }, strict),
+  viewReply: Type.Object({ view: nullableView }, strict),
+  lookReply: Type.Object({ view: nullableView, took: nullableView, me: Member }, strict),
+  join: Type.Object({ me: Member }, strict),
+  acknowledgement: Type.Object({ ok: Type.Boolean() }, strict),
+  push: Type.Object({ epoch: Type.Integer(), state: CoreState }, strict),
+  change: Type.Object({ epoch: Type.Integer(), change: StateChange }, strict),
+  changeReply: Type.Object({ ok: Type.Boolean(), lacking: Type.Boolean() }, strict),
+  write: Type.Object({ command: Command }, strict),
+  writeReply: Type.Object(
+    { ruling: Type.Union([CommandResult, Type.Null()]), term: Type.Number(), view: nullableView },
+    strict,
   ),
-  read: Type.Object({ plan: Type.Optional(Type.String()) }, shut),
-  readout: Type.Object(
+  read: Type.Object({ plan: Type.Optional(Type.String()) }, strict),
+  readReply: Type.Object(
     {
       ok: Type.Boolean(),
-      view: maybeView,
+      view: nullableView,
       charter: CoreState.properties.charter,
       plan: Type.Union([Plan, Type.Null()]),
     },
-    shut,
+    strict,
   ),
-  checkin: Type.Object(
+  checkIn: Type.Object(
     {
       version: Type.Integer(),
       sum: Type.String(),
-      load: Type.Object({ read: Type.Number(), write: Type.Number() }, shut),
+      load: Type.Object({ read: Type.Number(), write: Type.Number() }, strict),
     },
-    shut,
+    strict,
   ),
-  checked: Type.Object(
+  checkInReply: Type.Object(
     {
       ok: Type.Boolean(),
-      view: maybeView,
+      view: nullableView,
       version: Type.Integer(),
       roster: Type.Union([Type.Array(Ident), Type.Null()]),
-      load: Type.Object({ read: Type.Number(), write: Type.Number() }, shut),
+      load: Type.Object({ read: Type.Number(), write: Type.Number() }, strict),
     },
-    shut,
+    strict,
   ),
-  roll: Type.Object(
+  rosterReply: Type.Object(
     {
-      view: maybeView,
+      view: nullableView,
       roster: Type.Array(
-        Type.Object({ who: Ident, version: Type.Integer(), sum: Type.String(), age: Type.Number() }, shut),
+        Type.Object({ who: Ident, version: Type.Integer(), sum: Type.String(), age: Type.Number() }, strict),
       ),
     },
-    shut,
+    strict,
   ),
-  leave: Type.Object({ names: Type.Array(Type.String()) }, shut),
+  leave: Type.Object({ names: Type.Array(Type.String()) }, strict),
 };
--- a/packages/registry/src/service/coremetrics.ts
+++ b/packages/registry/src/service/coremetrics.ts
@@ -6,22 +6,22 @@
 
 /** How a core daemon stands, as metrics: its place in the view, its lease, and what it holds and knows to be passed. */
 export const CoreMetrics = {
-  families(d: Daemon): MetricFamily[] {
-    const view = d.core.view();
-    const { chain } = d.core;
+  families(daemon: Daemon): MetricFamily[] {
+    const view = daemon.core.view();
+    const { chain } = daemon.core;
     const gauge = (name: string, help: string, value: number): MetricFamily => ({
       ...{ name, help, kind: 'gauge' },
       samples: [{ labels: {}, value }],
     });
     return [
       gauge('view_epoch', 'epoch of the view', view?.epoch ?? 0),
-      gauge('chain_place', '1 is the head; 0 is out of the chain', view ? Views.place(view, d.ident) + 1 : 0),
+      gauge('chain_place', '1 is the head; 0 is out of the chain', view ? Views.place(view, daemon.ident) + 1 : 0),
       gauge(
         'chain_complete',
         'members of the chain that hold all that was confirmed',
         view ? Views.complete(view).length : 0,
       ),
-      gauge('view_lease', '1 while it may speak for its view', d.core.live() ? 1 : 0),
+      gauge('view_lease', '1 while it may speak for its view', daemon.core.live() ? 1 : 0),
       gauge('state_sequence', 'sequence number of the state on disk', chain.state().seq),
       gauge('state_configuration', 'configuration on disk', chain.state().charter?.version ?? 0),
       gauge(
--- a/packages/registry/src/service/diff.ts
+++ b/packages/registry/src/service/diff.ts
@@ -2,44 +2,48 @@
 
 type Change = { path: string; was: unknown; will: unknown; words: string };
 
-const plain = (v: unknown): string => (v === undefined ? 'nothing' : typeof v === 'string' ? v : JSON.stringify(v));
-const keyed = (v: unknown): Map<string, unknown> | null => {
-  if (Array.isArray(v)) {
+const describe = (value: unknown): string =>
+  value === undefined ? 'nothing' : typeof value === 'string' ? value : JSON.stringify(value);
+const entriesByKey = (value: unknown): Map<string, unknown> | null => {
+  if (Array.isArray(value)) {
     return new Map(
-      v.map((x: unknown, i) => {
-        const o = x as { id?: string; name?: string };
-        return [typeof x === 'object' && x !== null ? (o.id ?? o.name ?? String(i)) : String(x), x];
+      value.map((x: unknown, i) => {
+        const item = x as { id?: string; name?: string };
+        return [typeof x === 'object' && x !== null ? (item.id ?? item.name ?? String(i)) : String(x), x];
       }),
     );
   }
-  return typeof v === 'object' && v !== null ? new Map(Object.entries(v)) : null;
+  return typeof value === 'object' && value !== null ? new Map(Object.entries(value)) : null;
 };
-const walk = (path: string, was: unknown, will: unknown, out: Change[]): void => {
-  if (JSON.stringify(was) === JSON.stringify(will)) return;
-  const a = keyed(was),
-    b = keyed(will);
-  if (a && b) {
-    for (const k of new Set([...a.keys(), ...b.keys()])) walk(`${path}/${k}`, a.get(k), b.get(k), out);
+const collectChanges = (path: string, before: unknown, after: unknown, changes: Change[]): void => {
+  if (JSON.stringify(before) === JSON.stringify(after)) return;
+  const oldEntries = entriesByKey(before),
+    newEntries = entriesByKey(after);
+  if (oldEntries && newEntries) {
+    for (const key of new Set([...oldEntries.keys(), ...newEntries.keys()]))
+      collectChanges(`${path}/${key}`, oldEntries.get(key), newEntries.get(key), changes);
     return;
   }
   const words =
-    was === undefined
-      ? `${path} is new: ${plain(will)}.`
-      : will === undefined
-        ? `${path} goes; it was ${plain(was)}.`
-        : `${path} changes from ${plain(was)} to ${plain(will)}.`;
-  out.push({ path, was: was ?? null, will: will ?? null, words });
+    before === undefined
+      ? `${path} is new: ${describe(after)}.`
+      : after === undefined
+        ? `${path} goes; it was ${describe(before)}.`
+        : `${path} changes from ${describe(before)} to ${describe(after)}.`;
+  changes.push({ path, was: before ?? null, will: after ?? null, words });
 };
 
 /** A routing's source says nothing that the rest of it does not. */
-const plainly = (v: Intent): unknown => (Intents.routing(v) ? { ...v, source: undefined } : v);
+const withoutSource = (intent: Intent): unknown =>
+  Intents.routing(intent) ? { ...intent, source: undefined } : intent;
 
 /** What a plan would change, in JSON and in plain words. */
 export const Diff = {
-  of(was: Intent | null, will: Intent): Change[] {
-    const out: Change[] = [];
-    if (was === null) return [{ path: '', was: null, will, words: 'There is no charter yet; all of this is new.' }];
-    walk('', plainly(was), plainly(will), out);
-    return out;
+  of(before: Intent | null, after: Intent): Change[] {
+    const changes: Change[] = [];
+    if (before === null)
+      return [{ path: '', was: null, will: after, words: 'There is no charter yet; all of this is new.' }];
+    collectChanges('', withoutSource(before), withoutSource(after), changes);
+    return changes;
   },
 };
--- a/packages/registry/src/service/tracedesk.ts
+++ b/packages/registry/src/service/tracedesk.ts
@@ -2,7 +2,7 @@
 import type { Holding, Purging } from '@pumicebarrow/purge';
 import { Type } from 'typebox';
 
-const shut = { additionalProperties: false } as const;
+const strict = { additionalProperties: false } as const;
 const Step = Type.Object(
   {
     name: Type.String(),
@@ -15,31 +15,31 @@
     round: Type.Integer(),
     wall: Type.Number(),
   },
-  shut,
+  strict,
 );
 
 /** Where a daemon tells what it holds and how that came to be. */
 export const TraceDesk = {
   forms: {
-    request: Type.Object({ name: Type.Optional(Type.String()) }, shut),
+    request: Type.Object({ name: Type.Optional(Type.String()) }, strict),
     told: Type.Object(
       {
         who: Ident,
         sure: Type.Optional(
           Type.Boolean({ description: 'whether it knows that its charter is not an older one than it had' }),
         ),
-        marks: Type.Array(Type.Object({ name: Type.String(), mark: Mark }, shut)),
+        marks: Type.Array(Type.Object({ name: Type.String(), mark: Mark }, strict)),
         steps: Type.Array(Step),
         count: Type.Record(Type.String(), Type.Number()),
       },
-      shut,
+      strict,
     ),
   },
-  make(post: PostBox, self: () => Ident, purge: Purging, shelf: Holding, sure: () => boolean): void {
+  make(post: PostBox, self: () => Ident, purge: Purging, recordStore: Holding, isCurrent: () => boolean): void {
     post.on('trace.tell', TraceDesk.forms.request, (body) => ({
       who: self(),
-      sure: sure(),
-      marks: [...shelf.table().values()]
+      sure: isCurrent(),
+      marks: [...recordStore.table().values()]
         .filter((d) => body.name === undefined || d.name === body.name)
         .map((d) => ({ name: d.name, mark: d.mark })),
       steps: purge.diary(body.name),
--- a/packages/registry/src/service/warnings.ts
+++ b/packages/registry/src/service/warnings.ts
@@ -1,63 +1,77 @@
 import { Intents, type Charter, type Intent } from '@pumicebarrow/forms';
 
 type InUse = { server: string; part: string; stage: string };
-const HALF = 0.5;
-const slots = (c: Charter): number => c.servers.reduce((n, s) => n + s.slots, 0);
-const share = (was: number, will: number): string => `${Math.round((100 * (was - will)) / was)}%`;
+const LARGE_REDUCTION_FRACTION = 0.5;
+const totalSlots = (configuration: Charter): number => configuration.servers.reduce((n, s) => n + s.slots, 0);
+const reductionPercent = (before: number, after: number): string => `${Math.round((100 * (before - after)) / before)}%`;
 
-const capacity = (was: Charter, will: Charter): string[] => {
-  const out: string[] = [];
-  const [a, b] = [slots(was), slots(will)];
-  if (b < a * HALF) out.push(`it takes away ${share(a, b)} of the fleet's slots (${a} to ${b})`);
-  for (const r of was.rules) {
-    const next = will.rules.find((x) => x.name === r.name);
-    if (!next) out.push(`requests of the rule ${r.name} will be bounced: it goes`);
-    else if (next.limit < r.limit * HALF)
-      out.push(`the rule ${r.name} lets in ${share(r.limit, next.limit)} fewer requests at once`);
+const capacityWarnings = (before: Charter, after: Charter): string[] => {
+  const warnings: string[] = [];
+  const [slotsBefore, slotsAfter] = [totalSlots(before), totalSlots(after)];
+  if (slotsAfter < slotsBefore * LARGE_REDUCTION_FRACTION)
+    warnings.push(
+      `it takes away ${reductionPercent(slotsBefore, slotsAfter)} of the fleet's slots (${slotsBefore} to ${slotsAfter})`,
+    );
+  for (const rule of before.rules) {
+    const next = after.rules.find((x) => x.name === rule.name);
+    if (!next) warnings.push(`requests of the rule ${rule.name} will be bounced: it goes`);
+    else if (next.limit < rule.limit * LARGE_REDUCTION_FRACTION)
+      warnings.push(`the rule ${rule.name} lets in ${reductionPercent(rule.limit, next.limit)} fewer requests at once`);
   }
-  return out;
+  return warnings;
 };
-const servers = (was: Charter, will: Charter, rows: readonly InUse[]): string[] => {
-  const gone = was.servers.filter((s) => !will.servers.some((x) => x.id === s.id));
-  const fresh = will.servers.filter((s) => !was.servers.some((x) => x.id === s.id));
-  const used = gone.filter((s) => rows.some((r) => r.server === s.id && r.stage === 'serving'));
-  const out = used.map((s) => `server ${s.id} is in use, and no request will go to it any more`);
-  for (const s of used) {
-    const twin = fresh.find((x) => x.site === s.site && x.part === s.part && x.slots === s.slots);
-    if (twin) out.push(`${s.id} seems to be renamed to ${twin.id}: the platform must list it under that name`);
+const serverWarnings = (before: Charter, after: Charter, rows: readonly InUse[]): string[] => {
+  const removed = before.servers.filter((s) => !after.servers.some((x) => x.id === s.id));
+  const added = after.servers.filter((s) => !before.servers.some((x) => x.id === s.id));
+  const removedInUse = removed.filter((s) => rows.some((r) => r.server === s.id && r.stage === 'serving'));
+  const warnings = removedInUse.map((s) => `server ${s.id} is in use, and no request will go to it any more`);
+  for (const server of removedInUse) {
+    const replacement = added.find((x) => x.site === server.site && x.part === server.part && x.slots === server.slots);
+    if (replacement)
+      warnings.push(`${server.id} seems to be renamed to ${replacement.id}: the platform must list it under that name`);
   }
-  return out;
+  return warnings;
 };
-const parts = (will: Charter, rows: readonly InUse[]): string[] =>
-  will.servers.flatMap((s) => {
-    const row = rows.find((r) => r.server === s.id && r.stage === 'serving');
-    return row && s.part !== 'either' && s.part !== row.part
-      ? [`server ${s.id} is to ${row.part} now, and will be emptied to ${s.part}`]
+const stageWarnings = (after: Charter, rows: readonly InUse[]): string[] =>
+  after.servers.flatMap((server) => {
+    const row = rows.find((r) => r.server === server.id && r.stage === 'serving');
+    return row && server.part !== 'either' && server.part !== row.part
+      ? [`server ${server.id} is to ${row.part} now, and will be emptied to ${server.part}`]
       : [];
   });
 
 /** Whether capacity is lent that was not lent before, or is kept no more; and whose bursts will come to rest. */
-const lending = (was: Charter, will: Charter): string[] => {
-  const out: string[] = [],
-    [a, b] = [was.lending, will.lending];
-  for (const p of ['prefill', 'decode'] as const) {
-    if (b && b.most[p] > (a?.most[p] ?? 0))
-      out.push(`up to ${Math.round(b.most[p] * 100)}% of the slots that ${p} may be lent to bursts`);
-    if (a && b && b.keep[p] < a.keep[p])
-      out.push(`only ${b.keep[p]} slots that ${p} are kept for live work (${a.keep[p]} before)`);
+const lendingWarnings = (before: Charter, after: Charter): string[] => {
+  const warnings: string[] = [],
+    [lendingBefore, lendingAfter] = [before.lending, after.lending];
+  for (const stage of ['prefill', 'decode'] as const) {
+    if (lendingAfter && lendingAfter.most[stage] > (lendingBefore?.most[stage] ?? 0))
+      warnings.push(
+        `up to ${Math.round(lendingAfter.most[stage] * 100)}% of the slots that ${stage} may be lent to bursts`,
+      );
+    if (lendingBefore && lendingAfter && lendingAfter.keep[stage] < lendingBefore.keep[stage])
+      warnings.push(
+        `only ${lendingAfter.keep[stage]} slots that ${stage} are kept for live work (${lendingBefore.keep[stage]} before)`,
+      );
   }
-  for (const r of a?.rules ?? [])
-    if (!b?.rules.includes(r)) out.push(`bursts of the rule ${r} borrow no more, and come to rest`);
-  return out;
+  for (const rule of lendingBefore?.rules ?? [])
+    if (!lendingAfter?.rules.includes(rule))
+      warnings.push(`bursts of the rule ${rule} borrow no more, and come to rest`);
+  return warnings;
 };
 
 /** What of a plan an operator should look at twice, in plain words. It is said, never held against the plan. */
 export const Warnings = {
   of(before: Intent | null, after: Intent, rows: readonly InUse[]): string[] {
-    const was = Intents.charter(before),
-      will = Intents.charter(after);
-    return !was || !will
+    const oldConfiguration = Intents.charter(before),
+      newConfiguration = Intents.charter(after);
+    return !oldConfiguration || !newConfiguration
       ? []
-      : [...capacity(was, will), ...servers(was, will, rows), ...parts(will, rows), ...lending(was, will)];
+      : [
+          ...capacityWarnings(oldConfiguration, newConfiguration),
+          ...serverWarnings(oldConfiguration, newConfiguration, rows),
+          ...stageWarnings(newConfiguration, rows),
+          ...lendingWarnings(oldConfiguration, newConfiguration),
+        ];
   },
 };
--- a/packages/registry/src/state/apply.ts
+++ b/packages/registry/src/state/apply.ts
@@ -5,20 +5,20 @@
 import type { Plan } from './plan.js';
 import type { CommandResult } from '../chain/ruling.js';
 
-type Done = { state: CoreState; ruling: CommandResult };
-const KEEP = 200;
-const OPEN = 32;
+type Outcome = { state: CoreState; ruling: CommandResult };
+const MAX_PLANS = 200;
+const MAX_OPEN_PLANS = 32;
 
 /** The latest are kept; the plan in force and those still open are never among the ones that go. */
-const settle = (state: CoreState, plan: Plan): CoreState => {
+const storePlan = (state: CoreState, plan: Plan): CoreState => {
   const plans = [...state.plans.filter((p) => p.id !== plan.id), plan];
-  const stays = (p: Plan): boolean => p.fate === 'open' || p.id === state.charter?.plan;
-  const gone = plans.filter((p) => !stays(p)).slice(0, Math.max(0, plans.length - KEEP));
-  return { ...state, plans: plans.filter((p) => !gone.includes(p)) };
+  const isRetained = (p: Plan): boolean => p.fate === 'open' || p.id === state.charter?.plan;
+  const evicted = plans.filter((p) => !isRetained(p)).slice(0, Math.max(0, plans.length - MAX_PLANS));
+  return { ...state, plans: plans.filter((p) => !evicted.includes(p)) };
 };
 /** Of a plan that is not known: 'no' only while none was ever forgotten. */
-const stranger = (state: CoreState, id: string): Verdict =>
-  state.plans.length < KEEP
+const unknownPlan = (state: CoreState, id: string): Verdict =>
+  state.plans.length < MAX_PLANS
     ? Verdicts.not('unknown', `There is no plan ${id}.`)
     : Verdicts.maybe('forgotten', `Plan ${id} is not among the latest; what became of it is not known any more.`);
 
@@ -26,114 +26,150 @@
  * Whether a replacement over `base` that is not remembered can never have won. One that won is remembered while any
  * over a lower revision is; over a revision that never was in force, or is not yet, none has won.
  */
-const never = (state: CoreState, base: number, now: number): boolean =>
-  state.plans.length < KEEP || base > now || state.plans.some((p) => p.over !== undefined && p.over <= base);
+const neverWon = (state: CoreState, base: number, currentRevision: number): boolean =>
+  state.plans.length < MAX_PLANS ||
+  base > currentRevision ||
+  state.plans.some((p) => p.over !== undefined && p.over <= base);
 /** Routes never give way to a charter, nor to routes of an older revision: so no revision is in force twice. */
-const older = (now: Intent | undefined, next: Intent): Verdict | null => {
-  const revision = Intents.revision(now);
-  if (revision === 0 || Intents.revision(next) > revision) return null;
+const revisionFault = (currentIntent: Intent | undefined, nextIntent: Intent): Verdict | null => {
+  const revision = Intents.revision(currentIntent);
+  if (revision === 0 || Intents.revision(nextIntent) > revision) return null;
   return Verdicts.bad([{ path: '/revision', why: `must be above ${revision}, which is in force` }]);
 };
 
 /** What each command does to the core's state. Pure: the same state and command give the same outcome. */
 export const Apply = {
   empty: { seq: 0, charter: null, plans: [], claims: {} } as CoreState,
-  one(state: CoreState, c: Command): Done {
-    if (c.do === 'begin' || c.do === 'end' || c.do === 'mark' || c.do === 'settle') {
-      const was = state.bursts ?? [],
-        { bursts, verdict } = Bursts.apply(was, state.claims, c);
-      return { state: bursts === was ? state : { ...state, bursts: [...bursts] }, ruling: { verdict } };
+  one(state: CoreState, command: Command): Outcome {
+    if (command.do === 'begin' || command.do === 'end' || command.do === 'mark' || command.do === 'settle') {
+      const burstsBefore = state.bursts ?? [],
+        { bursts, verdict } = Bursts.apply(burstsBefore, state.claims, command);
+      return { state: bursts === burstsBefore ? state : { ...state, bursts: [...bursts] }, ruling: { verdict } };
     }
-    const no = (code: string, why: string, fate?: string): Done => ({
+    const refuse = (code: string, why: string, fate?: string): Outcome => ({
       state,
       ruling: { verdict: Verdicts.not(code, why), ...(fate === undefined ? {} : { fate }) },
     });
-    const held = c.do === 'claim' ? undefined : state.plans.find((p) => p.id === c.id);
-    const now = state.charter?.version ?? 0;
-    switch (c.do) {
+    const existing = command.do === 'claim' ? undefined : state.plans.find((p) => p.id === command.id);
+    const currentVersion = state.charter?.version ?? 0;
+    switch (command.do) {
       case 'plan': {
-        if (held)
-          return { state, ruling: { verdict: Verdicts.ran('planned', `Plan ${c.id} is stored.`), fate: held.fate } };
-        if (c.base !== now) return no('stale', `The plan is against version ${c.base}; version ${now} is in force.`);
-        const bad = older(state.charter?.body, c.charter);
-        if (bad) return { state, ruling: { verdict: bad } };
-        if (state.plans.filter((p) => p.fate === 'open').length >= OPEN)
-          return no('full', 'Too many plans are open; drop some.');
-        const next = settle(state, { id: c.id, base: c.base, fate: 'open', charter: c.charter });
-        return { state: next, ruling: { verdict: Verdicts.ran('planned', `Plan ${c.id} is stored.`), fate: 'open' } };
+        if (existing)
+          return {
+            state,
+            ruling: { verdict: Verdicts.ran('planned', `Plan ${command.id} is stored.`), fate: existing.fate },
+          };
+        if (command.base !== currentVersion)
+          return refuse('stale', `The plan is against version ${command.base}; version ${currentVersion} is in force.`);
+        const fault = revisionFault(state.charter?.body, command.charter);
+        if (fault) return { state, ruling: { verdict: fault } };
+        if (state.plans.filter((p) => p.fate === 'open').length >= MAX_OPEN_PLANS)
+          return refuse('full', 'Too many plans are open; drop some.');
+        const next = storePlan(state, { id: command.id, base: command.base, fate: 'open', charter: command.charter });
+        return {
+          state: next,
+          ruling: { verdict: Verdicts.ran('planned', `Plan ${command.id} is stored.`), fate: 'open' },
+        };
       }
       case 'replace': {
         const revision = Intents.revision(state.charter?.body);
-        const won = (version: number): CommandResult => ({
-          verdict: Verdicts.ran('confirmed', `Replacement ${c.id} is version ${version}.`),
+        const wonResult = (version: number): CommandResult => ({
+          verdict: Verdicts.ran('confirmed', `Replacement ${command.id} is version ${version}.`),
           version,
           fate: 'won',
         });
-        if (held?.fate === 'won') return { state, ruling: won(held.version!) };
-        if (held) return no('taken', `${c.id} is the name of a plan that is ${held.fate}.`, held.fate);
-        if (c.base !== revision && !never(state, c.base, revision))
-          return { state, ruling: { verdict: stranger(state, c.id) } };
-        if (c.base !== revision)
-          return no('lost', `${c.id} is against revision ${c.base}; revision ${revision} is in force.`, 'lost');
-        const bad = older(state.charter?.body, c.intent);
-        if (bad) return { state, ruling: { verdict: bad } };
-        const next = settle(state, { id: c.id, base: now, fate: 'won', version: now + 1, over: revision });
+        if (existing?.fate === 'won') return { state, ruling: wonResult(existing.version!) };
+        if (existing)
+          return refuse('taken', `${command.id} is the name of a plan that is ${existing.fate}.`, existing.fate);
+        if (command.base !== revision && !neverWon(state, command.base, revision))
+          return { state, ruling: { verdict: unknownPlan(state, command.id) } };
+        if (command.base !== revision)
+          return refuse(
+            'lost',
+            `${command.id} is against revision ${command.base}; revision ${revision} is in force.`,
+            'lost',
+          );
+        const fault = revisionFault(state.charter?.body, command.intent);
+        if (fault) return { state, ruling: { verdict: fault } };
+        const next = storePlan(state, {
+          id: command.id,
+          base: currentVersion,
+          fate: 'won',
+          version: currentVersion + 1,
+          over: revision,
+        });
         return {
-          state: { ...next, charter: { version: now + 1, plan: c.id, body: c.intent } },
-          ruling: won(now + 1),
+          state: { ...next, charter: { version: currentVersion + 1, plan: command.id, body: command.intent } },
+          ruling: wonResult(currentVersion + 1),
         };
       }
       case 'confirm': {
-        if (!held) return { state, ruling: { verdict: stranger(state, c.id) } };
-        if (held.fate === 'won')
+        if (!existing) return { state, ruling: { verdict: unknownPlan(state, command.id) } };
+        if (existing.fate === 'won')
           return {
             state,
             ruling: {
-              verdict: Verdicts.ran('confirmed', `Plan ${c.id} is version ${held.version}.`),
-              version: held.version!,
+              verdict: Verdicts.ran('confirmed', `Plan ${command.id} is version ${existing.version}.`),
+              version: existing.version!,
               fate: 'won',
             },
           };
-        if (held.fate !== 'open')
-          return no(held.fate, `Plan ${c.id} was ${held.fate}; it will never take hold.`, held.fate);
-        if (held.base !== now) {
-          const next = settle(state, { id: held.id, base: held.base, fate: 'lost' });
+        if (existing.fate !== 'open')
+          return refuse(
+            existing.fate,
+            `Plan ${command.id} was ${existing.fate}; it will never take hold.`,
+            existing.fate,
+          );
+        if (existing.base !== currentVersion) {
+          const next = storePlan(state, { id: existing.id, base: existing.base, fate: 'lost' });
           return {
             state: next,
             ruling: {
-              verdict: Verdicts.not('lost', `Plan ${c.id} lost to version ${now}; it will never take hold.`),
+              verdict: Verdicts.not(
+                'lost',
+                `Plan ${command.id} lost to version ${currentVersion}; it will never take hold.`,
+              ),
               fate: 'lost',
             },
           };
         }
-        const next = settle(state, { id: held.id, base: held.base, fate: 'won', version: now + 1 });
+        const next = storePlan(state, {
+          id: existing.id,
+          base: existing.base,
+          fate: 'won',
+          version: currentVersion + 1,
+        });
         return {
-          state: { ...next, charter: { version: now + 1, plan: held.id, body: held.charter! } },
+          state: { ...next, charter: { version: currentVersion + 1, plan: existing.id, body: existing.charter! } },
           ruling: {
-            verdict: Verdicts.ran('confirmed', `Plan ${c.id} is version ${now + 1}.`),
-            version: now + 1,
+            verdict: Verdicts.ran('confirmed', `Plan ${command.id} is version ${currentVersion + 1}.`),
+            version: currentVersion + 1,
             fate: 'won',
           },
         };
       }
       case 'drop': {
-        if (!held) return { state, ruling: { verdict: stranger(state, c.id) } };
-        if (held.fate === 'dropped')
-          return { state, ruling: { verdict: Verdicts.ran('dropped', `Plan ${c.id} is dropped.`), fate: 'dropped' } };
-        if (held.fate !== 'open') return no(held.fate, `Plan ${c.id} was ${held.fate} before.`, held.fate);
-        const next = settle(state, { id: held.id, base: held.base, fate: 'dropped' });
+        if (!existing) return { state, ruling: { verdict: unknownPlan(state, command.id) } };
+        if (existing.fate === 'dropped')
+          return {
+            state,
+            ruling: { verdict: Verdicts.ran('dropped', `Plan ${command.id} is dropped.`), fate: 'dropped' },
+          };
+        if (existing.fate !== 'open')
+          return refuse(existing.fate, `Plan ${command.id} was ${existing.fate} before.`, existing.fate);
+        const next = storePlan(state, { id: existing.id, base: existing.base, fate: 'dropped' });
         return {
           state: next,
-          ruling: { verdict: Verdicts.ran('dropped', `Plan ${c.id} is dropped.`), fate: 'dropped' },
+          ruling: { verdict: Verdicts.ran('dropped', `Plan ${command.id} is dropped.`), fate: 'dropped' },
         };
       }
       case 'claim': {
-        const old = state.claims[c.name];
-        const fence = (old?.fence ?? 0) + 1;
-        const leases = { ...state.claims, [c.name]: { id: c.id, born: c.born, fence } };
+        const previous = state.claims[command.name];
+        const fence = (previous?.fence ?? 0) + 1;
+        const leases = { ...state.claims, [command.name]: { id: command.id, born: command.born, fence } };
         return {
           state: { ...state, claims: leases },
-          ruling: { verdict: Verdicts.ran('claimed', `${c.id} holds ${c.name}.`), fence },
+          ruling: { verdict: Verdicts.ran('claimed', `${command.id} holds ${command.name}.`), fence },
         };
       }
     }
--- a/packages/registry/src/state/recordcheck.ts
+++ b/packages/registry/src/state/recordcheck.ts
@@ -7,14 +7,14 @@
 
 /** Whether a shared doc is what its name says. Nothing else is put on a shelf. */
 export const RecordCheck = {
-  doc(d: Doc): boolean {
-    if (d.name === 'charter') {
-      const got = Check.parse(CharterBody, d.body);
-      return got.ok && got.val.version === d.mark[0] && Clauses.faults(got.val.charter).length === 0;
+  doc(doc: Doc): boolean {
+    if (doc.name === 'charter') {
+      const parsed = Check.parse(CharterBody, doc.body);
+      return parsed.ok && parsed.val.version === doc.mark[0] && Clauses.faults(parsed.val.charter).length === 0;
     }
-    if (d.name === 'mix') return Check.is(Mix, d.body);
-    const [kind, server] = d.name.split(':');
-    const form = kind === 'row' ? SheetRow : kind === 'sight' ? Sighting : kind === 'loan' ? Loan : null;
-    return form !== null && Check.is(form, d.body) && (d.body as { server: string }).server === server;
+    if (doc.name === 'mix') return Check.is(Mix, doc.body);
+    const [kind, server] = doc.name.split(':');
+    const schema = kind === 'row' ? SheetRow : kind === 'sight' ? Sighting : kind === 'loan' ? Loan : null;
+    return schema !== null && Check.is(schema, doc.body) && (doc.body as { server: string }).server === server;
   },
 };
--- a/packages/registry/src/state/statechange.ts
+++ b/packages/registry/src/state/statechange.ts
@@ -5,8 +5,8 @@
 import { CoreState } from './corestate.js';
 import { Plan } from './plan.js';
 
-const shut = { additionalProperties: false } as const;
-const version = { seq: Type.Integer({ minimum: 0 }), digest: Type.String() };
+const strict = { additionalProperties: false } as const;
+const versionKeys = { seq: Type.Integer({ minimum: 0 }), digest: Type.String() };
 
 /**
  * What one version of the core's state is changed by to become another. Invariant: it applies to the version named by
@@ -14,13 +14,13 @@
  */
 export const StateChange = Type.Object(
   {
-    base: Type.Object(version, shut),
-    result: Type.Object(version, shut),
+    base: Type.Object(versionKeys, strict),
+    result: Type.Object(versionKeys, strict),
     charter: Type.Optional(
       Type.Union([
         Type.Null(),
-        Type.Object({ version: Type.Integer({ minimum: 1 }), plan: Type.String(), body: Intent }, shut),
-        Type.Object({ version: Type.Integer({ minimum: 1 }), plan: Type.String(), part: DocPart }, shut),
+        Type.Object({ version: Type.Integer({ minimum: 1 }), plan: Type.String(), body: Intent }, strict),
+        Type.Object({ version: Type.Integer({ minimum: 1 }), plan: Type.String(), part: DocPart }, strict),
       ]),
     ),
     forgotten: Type.Array(Type.String(), { description: 'plans of the base that are no longer there, or have moved' }),
@@ -28,6 +28,6 @@
     claims: CoreState.properties.claims,
     bursts: Type.Optional(Type.Array(Burst)),
   },
-  shut,
+  strict,
 );
 export type StateChange = Static<typeof StateChange>;
--- a/packages/registry/src/state/statechanges.ts
+++ b/packages/registry/src/state/statechanges.ts
@@ -5,28 +5,28 @@
 import type { StateChange } from './statechange.js';
 import { StateDigest } from './statedigest.js';
 
-type Charter = NonNullable<CoreState['charter']>;
+type Configuration = NonNullable<CoreState['charter']>;
 /** Characters of a configuration from which on it is sent as what has changed. */
-const LEAST_PARTED = 2048;
+const MIN_PARTIAL_CHARS = 2048;
 
 const samePlan = (a: Plan | undefined, b: Plan): boolean => a?.id === b.id && a.fate === b.fate;
 /** How many of the first plans of `to` stand in `from` in the same order. */
-const keptPlans = (from: readonly Plan[], to: readonly Plan[]): number => {
-  let at = 0;
-  let kept = 0;
+const retainedPlanCount = (from: readonly Plan[], to: readonly Plan[]): number => {
+  let index = 0;
+  let retained = 0;
   for (const plan of to) {
-    while (at < from.length && !samePlan(from[at], plan)) at++;
-    if (at === from.length) return kept;
-    at++;
-    kept++;
+    while (index < from.length && !samePlan(from[index], plan)) index++;
+    if (index === from.length) return retained;
+    index++;
+    retained++;
   }
-  return kept;
+  return retained;
 };
 const changedLeases = (from: CoreState['claims'], to: CoreState['claims']): CoreState['claims'] =>
   Object.fromEntries(
     Object.entries(to).filter(([name, lease]) => {
-      const old = from[name];
-      return old?.id !== lease.id || old.born !== lease.born || old.fence !== lease.fence;
+      const previous = from[name];
+      return previous?.id !== lease.id || previous.born !== lease.born || previous.fence !== lease.fence;
     }),
   );
 
@@ -36,39 +36,45 @@
  */
 export const StateChanges = {
   make() {
-    const parts = DocParts.make(LEAST_PARTED);
-    const docs = new WeakMap<Charter, Doc>();
-    const doc = (charter: Charter): Doc => {
-      const known = docs.get(charter);
-      if (known) return known;
-      const made: Doc = { name: 'charter', mark: [charter.version, 0], body: charter.body };
-      docs.set(charter, made);
-      return made;
+    const parts = DocParts.make(MIN_PARTIAL_CHARS);
+    const docs = new WeakMap<Configuration, Doc>();
+    const docOf = (configuration: Configuration): Doc => {
+      const cached = docs.get(configuration);
+      if (cached) return cached;
+      const created: Doc = { name: 'charter', mark: [configuration.version, 0], body: configuration.body };
+      docs.set(configuration, created);
+      return created;
     };
-    const charterChange = (from: Charter | null, to: Charter): NonNullable<StateChange['charter']> => {
-      const held = from ? parts.held(doc(from)) : null;
-      const part = held === null ? null : parts.part(doc(to), held);
+    const configurationChange = (
+      from: Configuration | null,
+      to: Configuration,
+    ): NonNullable<StateChange['charter']> => {
+      const heldParts = from ? parts.held(docOf(from)) : null;
+      const part = heldParts === null ? null : parts.part(docOf(to), heldParts);
       return part ? { version: to.version, plan: to.plan, part } : to;
     };
-    const changedCharter = (from: Charter | null, change: NonNullable<StateChange['charter']>): Charter | null => {
+    const applyConfigurationChange = (
+      from: Configuration | null,
+      change: NonNullable<StateChange['charter']>,
+    ): Configuration | null => {
       if ('body' in change) return change;
-      const laid = from ? parts.lay(doc(from), change.part) : null;
-      if (!laid) return null;
-      const made = { version: change.version, plan: change.plan, body: laid.body as Charter['body'] };
-      docs.set(made, laid);
-      return made;
+      const patched = from ? parts.lay(docOf(from), change.part) : null;
+      if (!patched) return null;
+      const created = { version: change.version, plan: change.plan, body: patched.body as Configuration['body'] };
+      docs.set(created, patched);
+      return created;
     };
     return {
       between(from: CoreState, to: CoreState): StateChange {
-        const kept = keptPlans(from.plans, to.plans);
-        const stays = new Set(to.plans.slice(0, kept).map((p) => `${p.id} ${p.fate}`));
-        const sameCharter = from.charter?.version === to.charter?.version;
+        const retained = retainedPlanCount(from.plans, to.plans);
+        const retainedKeys = new Set(to.plans.slice(0, retained).map((p) => `${p.id} ${p.fate}`));
+        const sameConfiguration = from.charter?.version === to.charter?.version;
         return {
           base: { seq: from.seq, digest: StateDigest.of(from) },
           result: { seq: to.seq, digest: StateDigest.of(to) },
-          ...(sameCharter ? {} : { charter: to.charter && charterChange(from.charter, to.charter) }),
-          forgotten: from.plans.filter((p) => !stays.has(`${p.id} ${p.fate}`)).map((p) => p.id),
-          plans: to.plans.slice(kept),
+          ...(sameConfiguration ? {} : { charter: to.charter && configurationChange(from.charter, to.charter) }),
+          forgotten: from.plans.filter((p) => !retainedKeys.has(`${p.id} ${p.fate}`)).map((p) => p.id),
+          plans: to.plans.slice(retained),
           claims: changedLeases(from.claims, to.claims),
           ...(to.bursts && to.bursts !== from.bursts ? { bursts: to.bursts } : {}),
         };
@@ -77,18 +83,18 @@
       apply(from: CoreState, change: StateChange): CoreState | null {
         if (from.seq !== change.base.seq || StateDigest.of(from) !== change.base.digest) return null;
         if (change.result.digest === change.base.digest) return from;
-        const charter = change.charter ? changedCharter(from.charter, change.charter) : null;
-        if (change.charter && !charter) return null;
+        const configuration = change.charter ? applyConfigurationChange(from.charter, change.charter) : null;
+        if (change.charter && !configuration) return null;
         const forgotten = new Set(change.forgotten);
         const bursts = change.bursts ?? from.bursts;
-        const made: CoreState = {
+        const result: CoreState = {
           seq: change.result.seq,
-          charter: change.charter === undefined ? from.charter : charter,
+          charter: change.charter === undefined ? from.charter : configuration,
           plans: [...from.plans.filter((p) => !forgotten.has(p.id)), ...change.plans],
           claims: { ...from.claims, ...change.claims },
           ...(bursts ? { bursts } : {}),
         };
-        return StateDigest.of(made) === change.result.digest && Check.is(CoreState, made) ? made : null;
+        return StateDigest.of(result) === change.result.digest && Check.is(CoreState, result) ? result : null;
       },
     };
   },
--- a/packages/registry/src/state/statedigest.ts
+++ b/packages/registry/src/state/statedigest.ts
@@ -1,13 +1,13 @@
 import { Hash } from '@pumicebarrow/forms';
 import type { CoreState } from './corestate.js';
 
-const bodies = new WeakMap<object, string>();
-const states = new WeakMap<CoreState, string>();
+const bodyDigests = new WeakMap<object, string>();
+const stateDigests = new WeakMap<CoreState, string>();
 const bodyDigest = (body: object): string => {
-  const known = bodies.get(body);
-  if (known !== undefined) return known;
+  const cached = bodyDigests.get(body);
+  if (cached !== undefined) return cached;
   const digest = Hash.of(body);
-  bodies.set(body, digest);
+  bodyDigests.set(body, digest);
   return digest;
 };
 
@@ -17,12 +17,14 @@
  */
 export const StateDigest = {
   of(state: CoreState): string {
-    const known = states.get(state);
-    if (known !== undefined) return known;
-    const { seq, charter, plans, claims, bursts } = state;
-    const head = charter ? [charter.version, charter.plan, bodyDigest(charter.body)] : null;
-    const digest = Hash.of([seq, head, plans, claims, bursts ?? null]);
-    states.set(state, digest);
+    const cached = stateDigests.get(state);
+    if (cached !== undefined) return cached;
+    const { seq, charter: configuration, plans, claims, bursts } = state;
+    const configurationFields = configuration
+      ? [configuration.version, configuration.plan, bodyDigest(configuration.body)]
+      : null;
+    const digest = Hash.of([seq, configurationFields, plans, claims, bursts ?? null]);
+    stateDigests.set(state, digest);
     return digest;
   },
 };
--- a/packages/registry/src/state/store.ts
+++ b/packages/registry/src/state/store.ts
@@ -5,18 +5,20 @@
 import { View } from '../consensus/view.js';
 import { Vote } from '../consensus/vote.js';
 
-const Self = Type.Object({ born: Type.String(), whole: Type.Optional(Type.Boolean()) });
-const FORMS = [
-  ['self', Self],
+const IdentitySchema = Type.Object({ born: Type.String(), whole: Type.Optional(Type.Boolean()) });
+const SCHEMAS = [
+  ['self', IdentitySchema],
   ['view', Type.Union([View, Type.Null()])],
   ['vote', Type.Union([Vote, Type.Null()])],
   ['state', CoreState],
 ] as const;
-type Kept = { born: string | null; view: View | null; vote: Vote | null; state: CoreState; bad: boolean };
+type Restored = { born: string | null; view: View | null; vote: Vote | null; state: CoreState; bad: boolean };
 
 /** Whether a kind is missing. Folders of the release before this one did not begin with a file of each. */
-const short = (self: Static<typeof Self> | undefined, got: ReadonlyMap<string, unknown>): boolean =>
-  self ? self.whole === true && got.size < FORMS.length : got.size > 0;
+const isIncomplete = (
+  self: Static<typeof IdentitySchema> | undefined,
+  loaded: ReadonlyMap<string, unknown>,
+): boolean => (self ? self.whole === true && loaded.size < SCHEMAS.length : loaded.size > 0);
 
 /**
  * What a core daemon has on disk. Invariants: each kind's file number only rises, whatever the version inside;
@@ -25,44 +27,46 @@
  */
 export const Store = {
   make(world: World, disk: Disk) {
-    const next = new Map<string, number>();
-    const started = new Map<number, number>();
-    let jobs = 0;
-    const put = async (kind: string, v: unknown): Promise<Result<void, string>> => {
-      const n = (next.get(kind) ?? 0) + 1,
-        job = ++jobs;
-      next.set(kind, n);
-      const from = world.clock.mono();
-      started.set(job, from);
-      const done = await disk.put(kind, n, v);
-      started.delete(job);
-      world.tell({ what: 'stored', kind, ms: world.clock.mono() - from, done: done.ok });
-      return done;
+    const fileNumbers = new Map<string, number>();
+    const pendingWrites = new Map<number, number>();
+    let writeCount = 0;
+    const put = async (kind: string, value: unknown): Promise<Result<void, string>> => {
+      const fileNumber = (fileNumbers.get(kind) ?? 0) + 1,
+        writeId = ++writeCount;
+      fileNumbers.set(kind, fileNumber);
+      const startedAt = world.clock.mono();
+      pendingWrites.set(writeId, startedAt);
+      const result = await disk.put(kind, fileNumber, value);
+      pendingWrites.delete(writeId);
+      world.tell({ what: 'stored', kind, ms: world.clock.mono() - startedAt, done: result.ok });
+      return result;
     };
     return {
       put,
       /** How long the longest write under way has taken. */
       longestPendingWriteMs(): number {
-        const at = Math.min(...started.values());
-        return started.size === 0 ? 0 : world.clock.mono() - at;
+        const oldestStart = Math.min(...pendingWrites.values());
+        return pendingWrites.size === 0 ? 0 : world.clock.mono() - oldestStart;
       },
       /** Reads what is kept; sets it all aside unless it is whole. */
-      async load(): Promise<Result<Kept, string>> {
+      async load(): Promise<Result<Restored, string>> {
         const got = new Map<string, unknown>();
         let bad = false;
-        for (const [kind, form] of FORMS) {
+        for (const [kind, schema] of SCHEMAS) {
           const file = await disk.last(kind);
           if (file.err) return Err(file.val);
           if (file.val === null) continue;
-          next.set(kind, file.val.n);
-          const seen = Check.parse(form, file.val.v);
-          if (file.val.bad || seen.err) bad = true;
-          else got.set(kind, seen.val);
+          fileNumbers.set(kind, file.val.n);
+          const parsed = Check.parse(schema, file.val.v);
+          if (file.val.bad || parsed.err) bad = true;
+          else got.set(kind, parsed.val);
         }
-        const self = got.get('self') as Static<typeof Self> | undefined;
-        if (bad || short(self, got)) {
-          const done = await disk.aside();
-          return done.err ? Err(done.val) : Ok({ born: null, view: null, vote: null, state: Apply.empty, bad: true });
+        const self = got.get('self') as Static<typeof IdentitySchema> | undefined;
+        if (bad || isIncomplete(self, got)) {
+          const result = await disk.aside();
+          return result.err
+            ? Err(result.val)
+            : Ok({ born: null, view: null, vote: null, state: Apply.empty, bad: true });
         }
         return Ok({
           born: self?.born ?? null,
@@ -73,18 +77,18 @@
         });
       },
       /** Says who this daemon is. Invariant: not before there is a file of every other kind. */
-      async saveIdentity(born: string, fresh: boolean): Promise<Result<void, string>> {
-        for (const [kind, v] of fresh
+      async saveIdentity(incarnation: string, isNew: boolean): Promise<Result<void, string>> {
+        for (const [kind, value] of isNew
           ? ([
               ['view', null],
               ['vote', null],
               ['state', Apply.empty],
             ] as const)
           : []) {
-          const done = await put(kind, v);
-          if (done.err) return done;
+          const result = await put(kind, value);
+          if (result.err) return result;
         }
-        return put('self', { born, whole: true });
+        return put('self', { born: incarnation, whole: true });
       },
     };
   },
