--- a/packages/registry/src/chain/chain.ts
+++ b/packages/registry/src/chain/chain.ts
@@ -14,6 +14,7 @@
 import { Views } from '../consensus/views.js';
 
 type PendingCommand = { command: Command; reply: (r: CommandResult) => void };
+/** What the chain needs from the replica that it runs in. */
 type Hooks = {
   view: () => View | null;
   holdsLease: () => boolean;
@@ -23,10 +24,11 @@
 };
 
 /**
- * The chain: entered at the head, each version synced before it is passed on, answered at the tail.
- * Invariants: what a member holds, every member before it in the chain held first; `passed` is known to be held by all
- * of the view in force, and is nothing until the head has handed its version down in that view;
- * a command is refused with 'no' only if no version that carries its effect was ever begun.
+ * One member of the replication chain. Commands enter at the head; each member syncs a version to disk before
+ * forwarding it; the tail answers reads. Invariants: whatever a member holds, every member before it in the chain held
+ * first; `committed` is known to be held by every chain member of the view in force, and is null until the head has
+ * sent its version down the chain in that view; a command is refused with 'no' only if no version containing its effect
+ * was ever started.
  */
 export const Chain = {
   make(world: World, post: PostBox, store: Store, restored: CoreState, hooks: Hooks) {
@@ -65,7 +67,7 @@
       committed = newState;
       hooks.onCommitted(newState);
     };
-    /** Hands the version down; true when the tail holds it. */
+    /** Forwards the version to the rest of the chain; true once the tail holds it. */
     const forward = async (view: View, newState: CoreState): Promise<boolean> => {
       const position = Views.place(view, hooks.me()),
         next = view.chain[position + 1];
@@ -75,7 +77,8 @@
         if (!delivered) return false;
       }
       if (hooks.view()?.epoch !== view.epoch) return false;
-      // With too few copies it could still be lost, so it is neither shown nor confirmed.
+      // With too few replicas the version could still be lost, so it is neither shown to readers nor confirmed to
+      // callers.
       if (ChainRules.enough(view)) commit(newState);
       return true;
     };
@@ -83,9 +86,9 @@
     const whyNotReady = (): string | null => {
       const view = hooks.view();
       if (!isHead(view)) return 'This daemon is not the head.';
-      if (!hooks.holdsLease()) return 'The core has no live lease on its view.';
-      if (readyEpoch !== view.epoch) return 'The chain is being mended.';
-      if (!ChainRules.enough(view)) return 'The chain has too few copies.';
+      if (!hooks.holdsLease()) return 'This control replica has no live lease on its view.';
+      if (readyEpoch !== view.epoch) return 'The chain is resynchronizing.';
+      if (!ChainRules.enough(view)) return 'The chain has too few complete replicas.';
       return null;
     };
     const recordWriteStart = (next: CoreState): void =>
@@ -95,12 +98,12 @@
         version: next.charter?.version ?? 0,
         plan: next.charter?.plan ?? '',
       });
-    /** One batch becomes one version, and goes down the chain. */
+    /** Applies a batch of commands as one version and sends it down the chain. */
     const processBatch = async (batch: readonly PendingCommand[]): Promise<void> => {
       const reason = whyNotReady(),
         view = hooks.view();
       if (reason !== null || !view) {
-        Batch.refuse(batch, reason ?? 'No view.');
+        Batch.refuse(batch, reason ?? 'No view is in force.');
         return;
       }
       const { next, ruled: ruled } = Batch.apply(state, batch);
@@ -121,7 +124,7 @@
       }
       draining = false;
     };
-    /** After a new view, or a break: the head sends all it holds down the chain until the tail has it. */
+    /** After a view change or a failed write, the head sends its whole state down the chain until the tail holds it. */
     const resyncChain = async (): Promise<void> => {
       const view = hooks.view();
       while (view && hooks.view()?.epoch === view.epoch && isHead(view) && readyEpoch !== view.epoch) {
@@ -136,7 +139,7 @@
       }
     };
 
-    /** Takes in the version that the member above hands down, and hands it on; false unless the tail has it. */
+    /** Accepts a version from the predecessor and forwards it; false unless the tail holds it. */
     const receive = async (epoch: number, from: Ident, next: CoreState): Promise<boolean> => {
       const view = hooks.view();
       const held = { fresh: syncedEpoch, seq: state.seq };
@@ -156,10 +159,15 @@
     );
 
     return {
+      /** The newest version on this member's disk, committed or not. */
       state: (): CoreState => state,
+      /** The newest committed version; null until one is known in the view in force. */
       passed: (): CoreState | null => committed,
+      /** Whether this member is a head that can accept commands now. */
       isReady: (): boolean => whyNotReady() === null,
+      /** Whether this member has received the head's state in the view in force. */
       fresh: (): boolean => syncedEpoch === hooks.view()?.epoch,
+      /** Commands that are waiting to be applied. */
       backlog: (): number => queue.length,
       write: (command: Command): Promise<CommandResult> =>
         new Promise((done) => {
@@ -169,12 +177,13 @@
             return;
           }
           if (queue.length >= 256) {
-            done({ verdict: Verdicts.not('full', 'Too many commands wait.', 1) });
+            done({ verdict: Verdicts.not('full', 'Too many commands are waiting.', 1) });
             return;
           }
           queue = [...queue, { command, reply: done }];
           void drainQueue();
         }),
+      /** Ends transfers of the old view and forgets what was committed; a new head then resynchronizes the chain. */
       onViewChange(): void {
         committed = null;
         signalViewChange();
@@ -182,10 +191,12 @@
           signalViewChange = () => done(null);
         });
         const { seq, charter } = state;
-        log.say(`Chain of view ${hooks.view()?.epoch ?? 0}; holding ${seq}, configuration ${charter?.version ?? 0}.`);
+        log.say(
+          `Entered view ${hooks.view()?.epoch ?? 0} holding state ${seq}, configuration ${charter?.version ?? 0}.`,
+        );
         void resyncChain();
       },
-      /** A member below has lost its place, or holds nothing of this view yet. */
+      /** A member further down has been replaced, or holds no state of this view yet. */
       resync(): void {
         if (readyEpoch !== 0) {
           readyEpoch = 0;
@@ -195,5 +206,5 @@
     };
   },
 };
-/** A chain as its users see it. */
+/** A chain member as its callers see it. */
 export type Chain = ReturnType<typeof Chain.make>;
--- a/packages/registry/src/chain/command.ts
+++ b/packages/registry/src/chain/command.ts
@@ -4,7 +4,9 @@
 
 const strict = { additionalProperties: false } as const;
 
-/** What enters at the head. */
+/**
+ * A command for the head of the chain, named by `do`. `born` is the incarnation of the daemon that asks for a lease.
+ */
 export const Command = Type.Union([
   Type.Object(
     {
--- a/packages/registry/src/chain/controlclient.ts
+++ b/packages/registry/src/chain/controlclient.ts
@@ -10,16 +10,19 @@
 
 type ReadReply = Static<typeof CoreMessages.readReply>;
 type CheckInReply = Static<typeof CoreMessages.checkInReply>;
-/** How many a look asks, and how many of them are of the view known: one of three that is silent is not enough. */
+/**
+ * Daemons asked in one view query, and how many of them are members of the known view. A single known member would not
+ * be enough, because it may be one that does not answer.
+ */
 const VIEW_QUERY_TARGETS = 5;
 const KNOWN_MEMBER_TARGETS = 2;
 
 /**
- * A daemon's line to the core. Invariant: the view known here only rises in epoch;
- * 'no' is said of a command only if no try of it can have been written.
+ * A daemon's client for the control replicas. Invariants: the epoch of the known view only rises; a command is reported
+ * as 'no' only if none of its attempts can have been written.
  */
 export const ControlClient = {
-  /** `own` is the view that a core daemon itself holds; that one's desk is Core's. */
+  /** `ownView` is the view that a control replica holds itself; such a replica answers `core.hint` in Core. */
   make(world: World, post: PostBox, seeds: () => readonly string[], ownView?: () => View | null) {
     let view: View | null = null;
     const epoch = (): number => view?.epoch ?? 0;
@@ -27,8 +30,9 @@
       if (newView && newView.epoch > epoch()) view = newView;
     };
     /**
-     * Asks for the view, among members of the one known before others. Over with the first word of a newer one, or soon
-     * if one is known; later words are learnt all the same. So nobody that is silent holds up what another may tell.
+     * Asks several daemons for the current view, members of the known view first. Ends with the first reply that has a
+     * newer view, or after a short wait if a view is known. Replies that arrive later still update the view, so an
+     * unresponsive daemon never delays what another one reports.
      */
     const look = (): Promise<void> => {
       const epochBefore = epoch();
@@ -53,8 +57,8 @@
       });
     };
     /**
-     * Asks at the head or the tail until it replies as such, or until time is up; in a newer view at once. With no time
-     * at all it asks once in each view.
+     * Sends a request to the head or the tail until that member answers as such or the time is up; retries at once in a
+     * newer view. With a time of 0 it makes one attempt in each view.
      */
     const requestFrom = async <T>(
       role: 'head' | 'tail',
@@ -78,7 +82,7 @@
         await Timer.nap(world.clock, 100 + Dice.int(world.chance, 60));
       }
     };
-    /** Waits for a reply, but not beyond a newer view than was known when it was asked for. */
+    /** Waits for a reply, but stops once a view is known that is newer than the one the request was sent in. */
     const unlessViewChanged = <T>(request: Promise<Result<T, WireFault>>): Promise<Result<T, WireFault>> => {
       const epochBefore = epoch();
       return new Promise((resolve) => {
@@ -106,6 +110,7 @@
       view: (): View | null => view,
       learn: learn,
       look: look,
+      /** Sends a command to the head. `sent` is the time of the last attempt, from which a lease's `term` counts. */
       async write(command: Command, timeoutMs = 4000): Promise<{ ruling: CommandResult; term: number; sent: number }> {
         let maybeWritten = false;
         let sent = world.clock.mono();
@@ -128,10 +133,11 @@
         });
         if (accepted) return { ...accepted, ruling: accepted.ruling, sent };
         const verdict = maybeWritten
-          ? Verdicts.maybe('unsure', 'The core did not say; ask for the plan to learn its fate.')
-          : Verdicts.not('unready', 'The core can take no writes now.', 1);
+          ? Verdicts.maybe('unsure', 'The control replicas did not report the outcome; read the plan to learn it.')
+          : Verdicts.not('unready', 'The control replicas cannot accept writes now.', 1);
         return { ruling: { verdict }, term: 0, sent };
       },
+      /** Reads the configuration in force from the tail, and one plan if its id is given. */
       read: (plan: string | undefined, timeoutMs: number): Promise<ReadReply | null> =>
         requestFrom('tail', timeoutMs, async (addr, id) => {
           const reply = await post.ask(
@@ -146,7 +152,9 @@
             ? { answer: reply.val.ok ? reply.val : null, view: reply.val.view }
             : { answer: null, view: null };
         }),
-      /** Bursts in counts; with a key that one alone, and whole; its outcomes' texts only if they are asked for. */
+      /**
+       * Reads bursts as summaries. With a key, also that burst whole; its generations' texts only if `texts` is set.
+       */
       bursts: (
         query: Static<typeof BurstMessages.readRequest>,
         timeoutMs: number,
@@ -164,6 +172,7 @@
             ? { answer: reply.val.ok ? reply.val : null, view: reply.val.view }
             : { answer: null, view: null };
         }),
+      /** Reports this daemon as live to the head; the reply has the version in force, the roster and the total load. */
       checkin: (body: Static<typeof CoreMessages.checkIn>): Promise<CheckInReply | null> =>
         requestFrom('head', 0, async (addr, id) => {
           const reply = await unlessViewChanged(
@@ -173,6 +182,7 @@
             ? { answer: reply.val.ok ? reply.val : null, view: reply.val.view }
             : { answer: null, view: null };
         }),
+      /** Reads from the head which daemons have checked in, and when. */
       readRoster: (): Promise<Static<typeof CoreMessages.rosterReply> | null> =>
         requestFrom('head', 1500, async (addr, id) => {
           const reply = await post.ask(
@@ -187,6 +197,7 @@
             ? { answer: reply.val.roster.length > 0 ? reply.val : null, view: reply.val.view }
             : { answer: null, view: null };
         }),
+      /** Tells the head that this daemon stops and gives up the named leases. */
       async leave(names: readonly string[]): Promise<void> {
         if (view)
           await post.ask(
@@ -201,5 +212,5 @@
     };
   },
 };
-/** A control client as its users see it. */
+/** A control client as its callers see it. */
 export type ControlClient = ReturnType<typeof ControlClient.make>;
--- a/packages/registry/src/chain/line.ts
+++ b/packages/registry/src/chain/line.ts
@@ -1,4 +1,4 @@
 import { ControlClient } from './controlclient.js';
 
-/** The name of `ControlClient` in the release before, kept for embedders for one release. */
+/** `ControlClient` under its name of the previous release, kept for embedders for one release. */
 export const Line = ControlClient;
--- a/packages/registry/src/chain/ruling.ts
+++ b/packages/registry/src/chain/ruling.ts
@@ -1,7 +1,7 @@
 import { Verdict } from '@pumicebarrow/forms';
 import { Type, type Static } from 'typebox';
 
-/** What a command came to. `ran` speaks of the write: 'no' only if nothing was written for it. */
+/** The result of a command. `verdict.ran` is about the write: 'no' only if nothing was written for it. */
 export const CommandResult = Type.Object(
   {
     verdict: Verdict,
--- a/packages/registry/src/chain/statehandover.ts
+++ b/packages/registry/src/chain/statehandover.ts
@@ -8,12 +8,12 @@
 type AcknowledgedState = { member: string; state: CoreState };
 
 /**
- * Hands versions to the next member of the chain: what changed against the version that it holds, or the whole state
- * if it lacks that one. Invariant: true is given only on the member's word that it holds the version.
+ * Sends versions of the state to the next chain member: as a change against the version that it holds, or whole if it
+ * lacks that version. Invariant: `send` returns true only after the member has confirmed that it holds the version.
  */
 export const StateTransfer = {
   make(post: PostBox, changes: StateChanges) {
-    /** What the next member said last that it holds. */
+    /** The version that the successor last confirmed. */
     let acknowledged: AcknowledgedState | null = null;
     const sendWhole = async (successor: Member, epoch: number, state: CoreState): Promise<boolean> => {
       const reply = await post.ask(
@@ -28,7 +28,9 @@
       );
       return reply.ok && reply.val.ok;
     };
-    /** Null when it must be sent whole: the member lacks the base, or its release does not know changes. */
+    /**
+     * Null if the state must be sent whole: the member lacks the base version, or its release does not support changes.
+     */
     const sendChange = async (
       successor: Member,
       epoch: number,
@@ -52,7 +54,7 @@
     return {
       async send(successor: Member, epoch: number, state: CoreState): Promise<boolean> {
         const memberKey = `${successor.id}/${successor.born}`;
-        // After a new view it most likely holds the same as this one does.
+        // After a view change the successor most likely holds the same version as this member.
         const base = acknowledged?.member === memberKey ? acknowledged.state : state;
         acknowledged = null;
         const ok = (await sendChange(successor, epoch, base, state)) ?? (await sendWhole(successor, epoch, state));
--- a/packages/registry/src/consensus/bootstrap.ts
+++ b/packages/registry/src/consensus/bootstrap.ts
@@ -13,34 +13,35 @@
 type Hooks = {
   me: () => Member;
   addresses: AddressBook;
-  /** How many machines may be lost at once. */
+  /** Number of machines that may be lost at the same time. */
   losses: number;
   coreAddresses: () => readonly string[];
-  /** The addresses that every daemon was given at the first start. */
+  /** The addresses given to every daemon at its first start. */
   seeds: () => readonly string[];
   view: () => View | null;
-  /** Whether this daemon may be one of the first view. */
+  /** Whether this daemon may be a member of the first view. */
   isCandidate: () => boolean;
   adopt: (v: View) => Promise<boolean>;
 };
 const MAX_CANDIDATES = 64;
 
 /**
- * How the first view comes about, among candidates that know each other by a few seeds, which need not be candidates.
- * Invariants: whoever proposes it has heard in that very turn, from more than half of the seeds and from every
- * candidate known to any of them, that it holds no view, has taken none and knows the same candidates, at least
- * 2 * losses + 1 of them; the first so many of these vote, and a first round needs the promises of all candidates
- * (ViewChanger). Two proposers share a seed, so the later one knows the earlier one, and asks its voters too.
+ * Agrees on the first view among candidates that find each other through a few seed addresses; seeds need not be
+ * candidates. Invariants: before a candidate proposes the first view, it has, within one round, received replies from
+ * more than half of the seeds and from every candidate known to any of them; each holds no view, has accepted none and
+ * knows the same candidates, at least 2 * losses + 1 of them. The first 2 * losses + 1 candidates are the voters, and a
+ * first round needs the promises of all candidates (see ViewChanger). Any two proposers share a seed, so the later one
+ * knows the earlier one and also asks its voters.
  */
 export const Bootstrap = {
   make(world: World, post: PostBox, voter: Voter, viewChanger: ViewChanger, hooks: Hooks) {
     const recentCandidates = Fading.make<Member>(world.clock.mono, MAX_CANDIDATES);
-    /** Where candidates are that others have told of; they are asked in the next turn. */
+    /** Addresses of candidates reported by others; they are asked in the next round. */
     let reportedAddresses: readonly string[] = [];
     const recordCandidate = (member: Member): void => {
       if (member.id !== hooks.me().id) recentCandidates.set(member.id, member, CoreTimings.candidateTtlMs);
     };
-    /** The candidates that this one knows, itself among them; none if it is none. */
+    /** The candidates known here, this one included; empty if this daemon is not a candidate. */
     const knownCandidates = (): Member[] =>
       hooks.isCandidate() ? BootstrapRules.ordered([hooks.me(), ...recentCandidates.all()]) : [];
     post.on('core.look', CoreMessages.empty, () => ({
@@ -77,12 +78,17 @@
         .filter((v): v is View => v !== null)
         .sort((a, b) => b.epoch - a.epoch)[0];
     return {
-      /** One turn of a daemon without a view: it takes up one that others hold, or has a part in making the first. */
+      /**
+       * Runs one round on a daemon without a view: adopts a view that others hold, or helps to agree on the first one.
+       */
       async runRound(): Promise<void> {
         const accepted = voter.acceptedView(),
           me = hooks.me();
         if (accepted && Views.votes(accepted, me)) {
-          if (await viewChanger.propose(accepted.voters, accepted, 'Taking up a first view left half made.')) return;
+          if (
+            await viewChanger.propose(accepted.voters, accepted, 'Resuming an unfinished proposal of the first view.')
+          )
+            return;
           await hooks.addresses.search(accepted);
           return;
         }
--- a/packages/registry/src/consensus/bootstraprules.ts
+++ b/packages/registry/src/consensus/bootstraprules.ts
@@ -2,24 +2,24 @@
 import type { View } from './view.js';
 import { Views } from './views.js';
 
-/** What a candidate or an introducer tells of itself when it is met. */
+/** What a candidate or an introducer reports about itself in reply to `core.meet`. */
 type MeetReply = { me: Member; took: View | null; met: readonly Member[] };
 const serialize = (members: readonly Member[]): string => JSON.stringify(members.map((m) => [m.id, m.born, m.addr]));
 
 /**
- * What may become the first view, as pure functions of what candidates know and were told.
- * Invariants: of two proposers one knows the other, as each heard more than half of the seeds in its turn, and each
- * seed tells of all that met it; only the first candidate by name proposes, and only what every candidate agrees on.
+ * Decides what may become the first view, as pure functions of what candidates know. Invariants: of two proposers one
+ * knows the other, because each received replies from more than half of the seeds and each seed reports every candidate
+ * that contacted it; only the candidate with the lowest id proposes, and only what all candidates agree on.
  */
 export const BootstrapRules = {
-  /** Candidates in the one order that all of them use. */
+  /** Candidates by id, the order that all of them use. */
   ordered: (candidates: readonly Member[]): Member[] => [...candidates].sort((a, b) => (a.id < b.id ? -1 : 1)),
-  /** Whether more than half of the seeds replied; a daemon that is a seed itself counts as one of them. */
+  /** Whether more than half of the seeds replied. A daemon that is a seed counts itself. */
   heardSeeds(seeds: readonly string[], ownAddress: string, replied: readonly string[]): boolean {
     const replying = seeds.filter((addr) => addr === ownAddress || replied.includes(addr));
     return replying.length * 2 > seeds.length || seeds.length === 0;
   },
-  /** Whether everyone that replied knows these candidates and no other, each candidate in the same words. */
+  /** Whether every daemon that replied knows exactly these candidates, with the same incarnations and addresses. */
   agreed(candidates: readonly Member[], me: Member, replies: readonly MeetReply[]): boolean {
     const knownCandidates = new Set(candidates.map((m) => serialize([m])));
     const noOthers = replies.every((r) => r.took === null && r.met.every((m) => knownCandidates.has(serialize([m]))));
@@ -27,16 +27,22 @@
       Views.same(m, me) || replies.some((r) => Views.same(r.me, m) && serialize(r.met) === serialize(candidates));
     return noOthers && candidates.every(confirmed);
   },
-  /** The first view that this candidate may propose; null where it may propose none. */
+  /** The first view that this candidate may propose; null if it must not propose one. */
   firstView(candidates: readonly Member[], me: Member, toleratedLosses: number): View | null {
     const voters = candidates.slice(0, 2 * toleratedLosses + 1);
     if (voters.length !== 2 * toleratedLosses + 1 || !Views.same(candidates[0], me)) return null;
     return { epoch: 1, voters, chain: voters };
   },
-  /** Whether a round put to all candidates ends here: one of them took a view that its voters go on with alone. */
+  /**
+   * Whether a round that asks all candidates must stop: one of them has accepted a view, which its voters now complete
+   * alone.
+   */
   isTakenOver: (candidates: number, voters: number, hasAcceptedView: boolean): boolean =>
     hasAcceptedView && candidates > voters,
-  /** Promises that a round for the first view needs: of all candidates, unless a view was taken before. */
+  /**
+   * Promises needed for the first view: from all candidates, or from a majority of the voters if a view was already
+   * accepted.
+   */
   promisesNeeded: (candidates: number, voters: number, hasAcceptedView: boolean): number =>
     hasAcceptedView ? Math.floor(voters / 2) + 1 : candidates,
 };
--- a/packages/registry/src/consensus/introducer.ts
+++ b/packages/registry/src/consensus/introducer.ts
@@ -4,18 +4,18 @@
 import { BootstrapRules } from './bootstraprules.js';
 import type { View } from './view.js';
 
-/** Candidates that are remembered at once. */
+/** Candidates remembered at the same time. */
 const MAX_CANDIDATES = 64;
 /**
- * How long they are, in ms: longer than candidates that have a view by now may be cut off from those that have none.
- * Whoever meets here late is so told of them, and asks them for their view.
+ * Longer than candidates that already have a view may be partitioned from those without one. A candidate that arrives
+ * late is told of the former and asks them for their view.
  */
 const CANDIDATE_TTL_MS = 60_000;
 type Hooks = { clock: Clock; post: PostBox; me: () => Member; view: () => View | null };
 
 /**
- * How a daemon that is no member of the core, but may be a seed, lets candidates for the first view find each other.
- * Invariant: it is never a candidate itself; it tells of every candidate that met it while it is REMEMBERED.
+ * Lets candidates for the first view find each other through a daemon that is not a control replica but may be a seed.
+ * Invariant: it is never a candidate itself; it reports every candidate that contacted it within CANDIDATE_TTL_MS.
  */
 export const Introducer = {
   make(hooks: Hooks): void {
--- a/packages/registry/src/consensus/leaserecall.ts
+++ b/packages/registry/src/consensus/leaserecall.ts
@@ -9,10 +9,10 @@
 import type { Voter } from './voter.js';
 
 /**
- * How leases end before their term once a next view is under way: a voter asks those that hold its leases to lay them
- * down, and need not wait for the term of one that did. Invariants: a holder speaks no more, and takes up no lease that
- * it asked for before, once it has said so; a voter asks only while it grants nothing, and forgets a lease only on its
- * holder's reply to that very question.
+ * Ends leases before they expire once the next view is being prepared. A voter asks the holders of its leases to
+ * release them, and need not wait for the expiry of a released one. Invariants: once a holder has agreed, it no longer
+ * acts under the lease and ignores grants that it requested before; a voter recalls leases only while it grants none,
+ * and drops a lease only on its holder's reply to that very recall.
  */
 export const LeaseRecall = {
   make(
--- a/packages/registry/src/consensus/nextviews.ts
+++ b/packages/registry/src/consensus/nextviews.ts
@@ -3,11 +3,11 @@
 import { Views } from './views.js';
 
 type Identity = { id: string; born: string };
-/** What the proposer knows of the members of the present view. */
+/** What the proposer knows about the members of the present view. */
 type Knowledge = {
-  /** Whether it holds the state of the present view on its disk. */
+  /** Whether the member has the state of the present view on its disk. */
   fresh: (m: Member) => boolean;
-  /** Whether its disk is known to be lost. */
+  /** Whether the member's disk is known to be lost. */
   emptied: (m: Member) => boolean;
 };
 
@@ -15,9 +15,9 @@
   members.some((m) => Views.same(m, identity));
 
 /**
- * The view after `v` with the given chain; null if its head would not be complete.
- * Invariant: with too few complete members, every complete member of `v` that goes is kept in reserve, but for those
- * whose disks are lost.
+ * The view after `view` with the given chain; null if its head would not be complete. Invariant: while there are too
+ * few complete members, every complete member of `view` that leaves the chain is kept in reserve, unless its disk is
+ * lost.
  */
 const nextView = (
   view: View,
@@ -36,33 +36,33 @@
     ...(reserve.length > 0 ? { reserve } : {}),
   };
 };
-/** Those of the chain that are complete by now. */
+/** Chain members that are complete by now. */
 const completeNow = (view: View, knowledge: Knowledge): Member[] =>
   view.chain.filter((m) => includes(Views.complete(view), m) || knowledge.fresh(m));
 
-/** The views that may be proposed to follow one. Null where there is no such view that keeps what was confirmed. */
+/** The views that may be proposed after a given one. Null if no such view keeps everything that was committed. */
 export const NextViews = {
-  /** Without some members; with none named, the same chain anew. */
+  /** Removes some members; with an empty list, renews the view with the same chain. */
   without(view: View, removed: readonly Identity[], knowledge: Knowledge): View | null {
     const chain = view.chain.filter((m) => !removed.some((w) => Views.same(m, w)));
     const complete = completeNow(view, knowledge).filter((m) => includes(chain, m));
     return nextView(view, chain, knowledge, complete);
   },
-  /** With a member at the tail; whatever stood there under the same id goes. */
+  /** Adds a member at the tail; any other member with the same id is removed. */
   withTail(view: View, newcomer: Member, knowledge: Knowledge): View | null {
     const chain = [...view.chain.filter((x) => x.id !== newcomer.id), newcomer];
     const complete = completeNow(view, knowledge).filter((x) => x.id !== newcomer.id);
     const next = nextView(view, chain, knowledge, complete);
     return next && { ...next, voters: view.voters.map((x) => (Views.same(x, newcomer) ? newcomer : x)) };
   },
-  /** A caught-up chain member takes another's vote. */
+  /** Gives another member's vote to a chain member that has caught up. */
   withVoter(view: View, newVoter: Member, oldVoter: Identity, knowledge: Knowledge): View | null {
     const next = nextView(view, view.chain, knowledge, completeNow(view, knowledge));
     return next && { ...next, voters: view.voters.map((x) => (Views.same(x, oldVoter) ? newVoter : x)) };
   },
   /**
-   * With a member of the reserve as the head; null unless all complete members of the chain are away. They go to the
-   * reserve in its place: nothing is confirmed in a view that has one, so all of them hold the same.
+   * Makes a member of the reserve the head; null unless all complete chain members are unavailable. Those go to the
+   * reserve: nothing is committed in a view with a reserve, so all of them hold the same state.
    */
   promoting(view: View, newHead: Member, away: readonly Member[], knowledge: Knowledge): View | null {
     if (!Views.isInReserve(view, newHead) || !completeNow(view, knowledge).every((x) => includes(away, x))) return null;
--- a/packages/registry/src/consensus/view.ts
+++ b/packages/registry/src/consensus/view.ts
@@ -5,12 +5,12 @@
 const members = { maxItems: ViewLimits.maxChainLength };
 
 /**
- * The agreed order of the core. The chain runs from its head (first) to its tail (last).
- * Invariants: one view an epoch, chosen by a majority of the voters of the epoch before;
- * voters change by one member at a time; a newcomer is in the chain before it is a voter.
- * The head is complete: it is not among `joining`. While fewer than a majority of the voters' number are complete,
- * nothing is confirmed, and those complete members that were taken out are kept in `reserve`; so whatever was
- * confirmed is on the disk of every complete member, and of every member in reserve.
+ * The agreed configuration of the control replicas. The chain runs from its head (first) to its tail (last).
+ * Invariants: there is one view per epoch, chosen by a majority of the voters of the epoch before; voters change by one
+ * member at a time; a newcomer is in the chain before it becomes a voter. The head is complete, that is, not among
+ * `joining`. While fewer members are complete than a majority of the voters, nothing is committed, and complete members
+ * that were removed are kept in `reserve`; so everything committed is on the disk of every complete member and of every
+ * member in reserve.
  */
 export const View = Type.Object(
   {
--- a/packages/registry/src/consensus/viewchanger.ts
+++ b/packages/registry/src/consensus/viewchanger.ts
@@ -10,6 +10,7 @@
 import type { Voter } from './voter.js';
 import { VoterRules } from './voterrules.js';
 
+/** A voter's reply to a prepare or an accept request. */
 type VoterReply = {
   ok: boolean;
   wait?: number;
@@ -18,16 +19,18 @@
   view: View | null;
 };
 
-/** Ballots come in blocks of so many. Invariant: each voter has one of its own in every block,
- * and those that have no vote share the last. */
+/**
+ * Ballot numbers are allocated in blocks of this size. Invariant: each voter has one number of its own in every block;
+ * members without a vote share the last one.
+ */
 const BALLOT_BLOCK_SIZE = ViewLimits.maxVoters + 1;
-/** Members by name, in their order. */
+/** Identifies members by id and incarnation, in their order. */
 const serialize = (members: readonly Member[]): string => JSON.stringify(members.map((m) => [m.id, m.born]));
 
 /**
- * Proposes the next view to the voters of the present one.
- * Invariants: at most one view is chosen for an epoch, whoever proposes and however often; the first one, which has no
- * voters before it, is put to all that could be among them: all must promise it before any voter takes it.
+ * Proposes the next view to the voters of the present one (single-decree Paxos for each epoch). Invariants: at most one
+ * view is chosen for an epoch, whoever proposes and however often. The first view has no earlier voters, so it is put
+ * to every possible voter: all must promise it before any voter accepts it.
  */
 export const ViewChanger = {
   make(
@@ -50,7 +53,7 @@
       highestBallot = ballot;
       return ballot;
     };
-    /** What voters say, as soon as enough of them say yes; else what all say that can be heard. */
+    /** Collects the voters' replies, until `quorum` of them agree or every voter has answered or timed out. */
     const poll = (
       voters: readonly Member[],
       quorum: number,
@@ -91,7 +94,7 @@
       }
       const granted = promises.filter((v) => v.ok);
       const hasAcceptedView = granted.some((v) => v.took);
-      // Nobody else may count those that promised.
+      // The view's own voters continue without this proposer, so no other candidate's promises may be counted.
       if (BootstrapRules.isTakenOver(promisers.length, voters.length, hasAcceptedView)) return null;
       if (granted.length < promisesNeeded(hasAcceptedView)) {
         const waitMs = Math.min(CoreTimings.viewLeaseMs, Math.max(...promises.map((v) => v.wait ?? 0), 0));
@@ -117,12 +120,13 @@
     };
 
     return {
+      /** Whether a proposal is in progress. */
       isBusy: (): boolean => proposing,
-      /** Settles when all members of the view agreed last have been told of it, or could not be. */
+      /** Resolves once all members of the last agreed view were told of it or could not be reached. */
       announced: (): Promise<unknown> => announcements,
       /**
-       * Tries for a while; true once some view of that epoch is in force here. The first view may have to be promised
-       * by more daemons than will vote: `promisers`.
+       * Makes several attempts; true once a view of that epoch is in force here. For the first view, `promisers` may
+       * include more daemons than the voters.
        */
       async propose(
         voters: readonly Member[],
@@ -136,7 +140,7 @@
           for (let attempt = 0; attempt < 6; attempt++) {
             const view = await round(voters, next, promisers);
             if (view) {
-              log.say(`View ${view.epoch} is agreed: ${view.chain.map((m) => m.id).join(' > ')}. ${reason}`);
+              log.say(`View ${view.epoch} agreed with chain: ${view.chain.map((m) => m.id).join(' > ')}. ${reason}`);
               world.tell({ what: 'view', epoch: view.epoch, chain: view.chain.map((m) => `${m.id}/${m.born}`) });
               const adopted = await adopt(view);
               announcements = Promise.all(
@@ -164,5 +168,5 @@
     };
   },
 };
-/** A view changer as its users see it. */
+/** A view changer as its callers see it. */
 export type ViewChanger = ReturnType<typeof ViewChanger.make>;
--- a/packages/registry/src/consensus/viewfile.ts
+++ b/packages/registry/src/consensus/viewfile.ts
@@ -3,7 +3,8 @@
 import type { View } from './view.js';
 
 /**
- * The newest view of a daemon and whether it is on disk. Writes go one after the other; one that failed is made again.
+ * The newest view known to a daemon, and whether it is on disk. Writes are serialized; a failed write is repeated on
+ * request.
  */
 export const ViewFile = {
   make(store: Store, loaded: View | null) {
@@ -11,7 +12,7 @@
     let saved = loaded?.epoch ?? 0;
     let lastWrite: Promise<Result<void, string> | null> = Promise.resolve(null);
     const isSaved = (): boolean => newest === null || saved >= newest.epoch;
-    /** Null where nothing had to be written. */
+    /** Null if there was nothing to write. */
     const write = async (): Promise<Result<void, string> | null> => {
       const view = newest;
       if (!view || isSaved()) return null;
@@ -24,13 +25,13 @@
       return lastWrite;
     };
     return {
-      /** Writes a view that is newer than any before it; gives the fault, or null once it is on disk. */
+      /** Writes a view that is newer than all before it; returns the fault, or null once the view is on disk. */
       async save(view: View): Promise<string | null> {
         newest = view;
         const result = await enqueueWrite();
         return result?.err ? result.val : null;
       },
-      /** Whether the newest view is on disk, once what is under way has ended and what had failed was written again. */
+      /** Waits for pending writes, repeats a failed one, and returns whether the newest view is on disk. */
       async ensureSaved(): Promise<boolean> {
         if (!isSaved()) await enqueueWrite();
         return isSaved();
--- a/packages/registry/src/consensus/views.ts
+++ b/packages/registry/src/consensus/views.ts
@@ -9,27 +9,35 @@
 const includes = (members: readonly Member[] | undefined, identity: Identity): boolean =>
   (members ?? []).some((m) => same(m, identity));
 
-/** Questions asked of a view. */
+/** Queries on a view. */
 export const Views = {
   same: same,
   head: (view: View): Member => view.chain[0]!,
   tail: (view: View): Member => view.chain[view.chain.length - 1]!,
+  /** Index in the chain; -1 if absent. */
   place: (view: View, identity: Identity): number => view.chain.findIndex((m) => same(m, identity)),
-  /** A majority of the voters, and so many copies as writes need: one more than may be lost at once. */
+  /**
+   * A majority of the voters, which is also the number of replicas that a write needs: one more than may be lost at the
+   * same time.
+   */
   most: (view: View): number => Math.floor(view.voters.length / 2) + 1,
   votes: (view: View, identity: Identity): boolean => view.voters.some((m) => same(m, identity)),
-  /** Members of the chain that hold all that was confirmed when the view was agreed. */
+  /** Chain members that held everything committed when the view was agreed. */
   complete: (view: View): Member[] => view.chain.filter((m) => !includes(view.joining, m)),
-  /** Whether it stands outside the chain, holding all that was confirmed. */
+  /** Whether a member is outside the chain but holds everything that was committed. */
   isInReserve: (view: View, identity: Identity): boolean => includes(view.reserve, identity),
+  /** The chain, then voters and reserve members outside it, without duplicates. */
   all(view: View): Member[] {
     const outside = [...view.voters, ...(view.reserve ?? [])].filter((m) => Views.place(view, m) < 0);
     return [...view.chain, ...outside.filter((m, i) => outside.findIndex((x) => same(x, m)) === i)];
   },
-  /** The members as daemons to gossip with. */
+  /** The members as peers for gossip. */
   idents: (view: View | null): Ident[] =>
     view ? Views.all(view).map((m) => ({ ...m, site: 'core', role: 'registry' as const })) : [],
-  /** Beside the voters there is a place for one newcomer at a time; who has a name in the view has a place. */
+  /**
+   * Whether there is room for `member`: a view takes one newcomer at a time beside its voters, and an id already in the
+   * view keeps its place.
+   */
   room(view: View, member: Member): boolean {
     const memberIds = new Set(Views.all(view).map((x) => x.id));
     return memberIds.has(member.id) || memberIds.size <= view.voters.length;
--- a/packages/registry/src/consensus/vote.ts
+++ b/packages/registry/src/consensus/vote.ts
@@ -2,8 +2,8 @@
 import { View } from './view.js';
 
 /**
- * What a voter has bound itself to for one epoch.
- * Invariants: on disk before it is said; `promised` only rises; `took` is the value of the highest ballot accepted.
+ * What a voter is bound to for one epoch (the state of a Paxos acceptor). Invariants: written to disk before the voter
+ * replies; `promised`, the highest ballot promised, only rises; `took` is the view of the highest ballot accepted.
  */
 export const Vote = Type.Object(
   {
--- a/packages/registry/src/consensus/voter.ts
+++ b/packages/registry/src/consensus/voter.ts
@@ -10,12 +10,12 @@
 const leaseKey = (holder: Identity | undefined): string => (holder ? `${holder.id}/${holder.born}` : '');
 
 /**
- * One voter's part in choosing the next view: one single-decree agreement an epoch.
- * Invariants: a promise or an acceptance is synced before it is said; while a lease granted on the present
- * view may still be live, nothing is promised for the next; once something is, no lease on the present view is granted.
- * `until` is when the last lease ends that its life before this one may have granted. Nothing is promised or accepted
- * for the next view before the present one is on disk (`settled`): else a promise would take the place of the only word
- * of the present view.
+ * One voter (acceptor) in choosing the next view: single-decree Paxos for each epoch. Invariants: a promise or an
+ * acceptance is synced before the reply; while a lease granted on the present view may be live, nothing is promised for
+ * the next view; once something is promised, no lease on the present view is granted. `earlierLeasesUntil` is when the
+ * last lease expires that an earlier run of this daemon may have granted. Nothing is promised or accepted for the next
+ * view before the present one is on disk (`ensureViewSaved`): the promise would otherwise replace the only record of
+ * the present view.
  */
 export const Voter = {
   make(
@@ -49,8 +49,9 @@
       took: null,
     });
     return {
+      /** The view accepted last, or null. */
       acceptedView: (): View | null => vote?.took?.view ?? null,
-      /** Grants a lease on the view of `epoch`, unless the next view is under way. */
+      /** Grants a lease on the view of `epoch`, unless the next view is being prepared. */
       grantLease(epoch: number, leaseMs: number, holder?: Identity): boolean {
         if (mono() < viewChangeUntil || !VoterRules.mayGrant(vote, epoch)) return false;
         leases.set(leaseKey(holder), mono() + leaseMs);
@@ -74,11 +75,11 @@
           const result = await persist(next);
           return { ok: result.ok, promised: ballot };
         }),
-      /** One that held a lease on the view of `epoch` has laid it down. */
+      /** Drops the lease of a holder that released it, if it was granted on the view of `epoch`. */
       releaseLease(epoch: number, holder: Identity): void {
         if (epoch === presentEpoch && mono() < viewChangeUntil) leases.delete(leaseKey(holder));
       },
-      /** A new view is in force; what was bound to the old one is over. */
+      /** Installs a new view; promises and recalls of the old one no longer count. */
       onViewChange(epoch: number): void {
         presentEpoch = epoch;
         viewChangeUntil = 0;
@@ -87,5 +88,5 @@
     };
   },
 };
-/** A voter as its users see it. */
+/** A voter as its callers see it. */
 export type Voter = ReturnType<typeof Voter.make>;
--- a/packages/registry/src/core.ts
+++ b/packages/registry/src/core.ts
@@ -21,22 +21,27 @@
 import { FailureDetector } from './membership/failuredetector.js';
 import { AddressBook } from './membership/addressbook.js';
 
+/** What was loaded from disk at startup; `born` is the incarnation, null on an empty disk. */
 type RestoredState = { born: string | null; view: View | null; vote: Vote | null; state: CoreState };
 type Hooks = {
-  /** Where other core daemons may be met. */
+  /** Returns the addresses where other control replicas may be reached. */
   coreAddresses: () => readonly string[];
-  /** The addresses that every daemon was given at the first start. */
+  /** The addresses given to every daemon at its first start. */
   seeds: () => readonly string[];
-  /** How many machines may be lost at once; it sizes the first view, and later ones keep its size. */
+  /**
+   * Number of machines that may be lost at the same time. It sets the size of the first view; later views keep that
+   * size.
+   */
   losses: number;
-  /** Whether a daemon with nothing on disk may have a part in making the first view. */
+  /** Whether a daemon with nothing on disk may help to form the first view. */
   mayFormFirstView: boolean;
+  /** Called with each committed state. */
   onCommitted: (s: CoreState) => void;
 };
 
 /**
- * One core daemon: its place in the agreed view, and what it does about the others'.
- * Invariant: the view held here only rises in epoch.
+ * One control replica: its place in the agreed view, and its part in repairing the view. Invariant: the epoch of the
+ * view held here only rises.
  */
 export const Core = {
   make(world: World, post: PostBox, ident: () => Ident, store: Store, restored: RestoredState, hooks: Hooks) {
@@ -44,7 +49,7 @@
     const me = (): Member => ({ id: ident().id, born: ident().born, addr: ident().addr });
     const lifecycle = interpret(CoreLifecycle, () => undefined);
     const viewFile = ViewFile.make(store, restored.view);
-    // A daemon that lived before may have granted leases, also on a view that it had not on disk yet.
+    // An earlier run of this daemon may have granted leases, also on a view that was not on disk yet.
     const earlierLeasesUntil = restored.born === null ? 0 : world.clock.mono() + CoreTimings.viewLeaseMs;
     const voter = Voter.make(store, world.clock.mono, restored.vote, earlierLeasesUntil, viewFile.ensureSaved);
     const addresses = AddressBook.make(world, post, me, hooks.coreAddresses);
@@ -56,7 +61,7 @@
     const isSick = (): boolean =>
       lifecycle.machine.current === 'sick' || store.longestPendingWriteMs() > CoreTimings.diskStallMs;
     const isInChain = (): boolean => !!view && view.chain.some((m) => Views.same(m, me()) && m.addr === me().addr);
-    /** In the chain, though the view may still have it at another address. */
+    /** In the chain, though the view may have an older address of this daemon. */
     const hasPosition = (inView: View): boolean => Views.place(inView, me()) >= 0;
     const holdsLease = (): boolean => !isSick() && detector.holdsLease(view);
     const onDiskFault = (reason: string): void => {
@@ -122,7 +127,7 @@
     const recoverDisk = async (): Promise<void> => {
       const written = await store.saveIdentity(me().born, false);
       if (written.ok && (await viewFile.ensureSaved())) {
-        log.say('The disk is well again.');
+        log.say('The disk has recovered.');
         lifecycle.send('well');
       }
     };
@@ -191,7 +196,10 @@
         if (restored.view) installView(restored.view);
         stop = Timer.every(world.clock, CoreTimings.heartbeatIntervalMs, tick);
       },
-      /** Has a view agreed without this daemon, if enough copies are left, and sees to it that the others know. */
+      /**
+       * Has a view agreed without this daemon, if enough complete replicas remain, and waits until the others were told
+       * of it.
+       */
       async leave(): Promise<void> {
         leaving = true;
         const removeSelf = async (): Promise<void> => {
--- a/packages/registry/src/corelife.ts
+++ b/packages/registry/src/corelife.ts
@@ -1,8 +1,8 @@
 import { createMachine, state, transition } from 'robot3';
 
 /**
- * The life of a core daemon. 'blank': nothing on disk and no view. 'newcomer': others have a view without it.
- * 'member': it stands in the chain. 'sick': its disk has failed and it must be taken out of the chain.
+ * Lifecycle of a control replica. 'blank': nothing on disk and no view. 'newcomer': others have a view without it.
+ * 'member': in the chain. 'sick': its disk has failed and it must be removed from the chain.
  */
 export const CoreLifecycle = createMachine('blank', {
   blank: state(transition('found', 'newcomer'), transition('placed', 'member'), transition('ill', 'sick')),
--- a/packages/registry/src/duties/leases.ts
+++ b/packages/registry/src/duties/leases.ts
@@ -4,9 +4,9 @@
 import type { CommandResult } from '../chain/ruling.js';
 
 /**
- * Leases, as the head gives them. The holder and its fence are in the chain; how long it may go on is only here.
- * Invariant: no name goes to a new holder while the old one may still think it holds it; a new head, which can't
- * know, waits one whole term first.
+ * Named leases, granted by the head. The holder and its fencing token are replicated in the chain; the expiry time is
+ * known only to the head. Invariant: a name is not granted to a new holder while the old one may still believe that it
+ * holds the lease. A new head does not know the expiry times, so it first waits one whole term.
  */
 export const NamedLeases = {
   make(clock: Clock, chain: Chain, holdsLease: () => boolean) {
@@ -18,22 +18,26 @@
         expiresAt.clear();
         newHeadWaitUntil = clock.mono() + CoreTimings.lease;
       },
+      /** Ends the lease at once if this daemon incarnation holds it. */
       release(name: string, id: string, incarnation: string): void {
         const holder = chain.passed()?.claims[name];
         if (holder && holder.id === id && holder.born === incarnation) expiresAt.set(name, 0);
       },
+      /** Grants or renews a lease, or refuses with the time until it may be free. */
       async acquire(name: string, id: string, incarnation: string): Promise<CommandResult> {
         const holder = chain.passed()?.claims[name],
           now = clock.mono();
-        if (!holdsLease() || !chain.isReady()) return { verdict: Verdicts.not('unready', 'The core is not ready.', 1) };
+        if (!holdsLease() || !chain.isReady())
+          return { verdict: Verdicts.not('unready', 'The control replicas are not ready.', 1) };
         if (holder && holder.id === id && holder.born === incarnation) {
-          if (pendingTransfers.has(name)) return { verdict: Verdicts.not('busy', 'The lease is changing hands.', 1) };
+          if (pendingTransfers.has(name))
+            return { verdict: Verdicts.not('busy', 'The lease is being granted to another daemon.', 1) };
           expiresAt.set(name, now + CoreTimings.lease);
           return { verdict: Verdicts.ran('claimed', `${id} holds ${name}.`), fence: holder.fence };
         }
         const waitMs = holder ? (expiresAt.get(name) ?? newHeadWaitUntil) - now : 0;
         if (waitMs > 0 || pendingTransfers.has(name))
-          return { verdict: Verdicts.not('held', `${name} is held.`, Math.max(waitMs, 100) / 1000) };
+          return { verdict: Verdicts.not('held', `${name} is held by another daemon.`, Math.max(waitMs, 100) / 1000) };
         pendingTransfers.add(name);
         const result = await chain.write({ do: 'claim', name, id, born: incarnation });
         pendingTransfers.delete(name);
--- a/packages/registry/src/duties/mix.ts
+++ b/packages/registry/src/duties/mix.ts
@@ -1,6 +1,9 @@
 import { Type, type Static } from 'typebox';
 
-/** How many servers should read: the body of the shared doc `mix`, written under its lease. */
+/**
+ * How many servers should serve the prefill stage: the body of the shared document `mix`, written under its lease. `by`
+ * is the writer.
+ */
 export const Mix = Type.Object(
   { prefill: Type.Integer({ minimum: 1 }), by: Type.String() },
   { additionalProperties: false },
--- a/packages/registry/src/duties/sheetrow.ts
+++ b/packages/registry/src/duties/sheetrow.ts
@@ -1,8 +1,9 @@
 import { Type, type Static } from 'typebox';
 
 /**
- * One server's row of the casting sheet: the body of the shared doc `row:<server>`. Its mark is (fence, step).
- * Invariant: written only by the holder of that row's lease, whose fence the mark carries.
+ * The stage assignment of one server: the body of the shared document `row:<server>`. Its mark is (fence, step).
+ * Invariant: written only by the holder of that row's lease, whose fence is in the mark. `part` is the assigned stage,
+ * `stage` its progress, `born` the server's incarnation.
  */
 export const SheetRow = Type.Object(
   {
--- a/packages/registry/src/duties/sighting.ts
+++ b/packages/registry/src/duties/sighting.ts
@@ -1,6 +1,9 @@
 import { Type, type Static } from 'typebox';
 
-/** One daemon saw a server stop replying: the body of the shared doc `sight:<server>`. */
+/**
+ * One daemon's report that a server stopped replying: the body of the shared document `sight:<server>`. `born` is the
+ * server's incarnation, `by` the reporter.
+ */
 export const Sighting = Type.Object(
   { server: Type.String(), born: Type.String(), by: Type.String() },
   { additionalProperties: false },
--- a/packages/registry/src/lending/burst.ts
+++ b/packages/registry/src/lending/burst.ts
@@ -3,9 +3,9 @@
 import { Generation } from './generation.js';
 
 /**
- * A burst as the core keeps it. Invariants: `order` is unique and rises with each that is begun; there are prompts
- * times samples generations, the samples of one prompt next to each other; once `ended` nothing more is begun. One
- * that is `gone` has no generations, and of its prompts nothing is left.
+ * A burst as the control replicas store it. Invariants: `order` is unique and rises with each new burst; there are
+ * prompts times samples generations, with the samples of one prompt next to each other; once `ended`, no generation is
+ * started. A burst that is `gone` has no generations, and its prompts are deleted.
  */
 export const Burst = Type.Object(
   {
--- a/packages/registry/src/lending/burstcommand.ts
+++ b/packages/registry/src/lending/burstcommand.ts
@@ -2,6 +2,9 @@
 import { BurstSpec } from './burstspec.js';
 
 const strict = { additionalProperties: false } as const;
+/**
+ * Names one attempt of a generation: `mark` numbers its attempts, `turn` the runners that took over the same attempt.
+ */
 const generationKeys = {
   id: Type.String({ minLength: 1, maxLength: 60 }),
   index: Type.Integer({ minimum: 0 }),
@@ -9,7 +12,9 @@
   turn: Type.Integer({ minimum: 1, maximum: 1000 }),
 };
 
-/** What is said to the core of bursts. */
+/**
+ * Commands on bursts. A `mark` is recorded before a generation's request is sent, a `settle` reports what became of it.
+ */
 export const BurstCommand = Type.Union([
   Type.Object({ do: Type.Literal('begin'), spec: BurstSpec }, strict),
   Type.Object({ do: Type.Literal('end'), id: Type.String({ minLength: 1, maxLength: 60 }) }, strict),
--- a/packages/registry/src/lending/burstdesk.ts
+++ b/packages/registry/src/lending/burstdesk.ts
@@ -12,7 +12,7 @@
   generations: burst.generations.map(({ text: _text, ...g }) => g),
 });
 
-/** Where bursts are read, at the tail under its lease alone, as the charter is. */
+/** Serves reads of bursts, only at the tail and under its lease, like reads of the configuration. */
 export const BurstService = {
   make(post: PostBox, hooks: Hooks): void {
     post.on('core.burst', BurstMessages.readRequest, (body) => {
--- a/packages/registry/src/lending/bursts.ts
+++ b/packages/registry/src/lending/bursts.ts
@@ -11,6 +11,7 @@
 type LeaseFences = Readonly<Record<string, { fence: number }>>;
 type Outcome = { bursts: readonly Burst[]; verdict: Verdict };
 
+/** Limits on one burst (generations, bytes of prompts) and on all recorded bursts. */
 const LIMITS = {
   generationsPerBurst: 256,
   totalGenerations: 1024,
@@ -18,12 +19,17 @@
   keptBursts: 16,
   forgottenBursts: 64,
 };
+/** States that a generation never leaves. */
 const FINAL_STATES: readonly Generation['state'][] = ['ran', 'unsure', 'dropped'];
 const isFinished = (burst: Burst): boolean => burst.generations.every((g) => FINAL_STATES.includes(g.state));
 
-/** What each command does to the bursts that the core keeps. Pure, as all of the core's rulings. */
+/**
+ * What each command does to the recorded bursts. Pure functions, like everything that applies commands to the
+ * replicated state.
+ */
 export const Bursts = {
   isFinished: isFinished,
+  /** Applies a command. Repeating a command that has taken effect succeeds and changes nothing. */
   apply(bursts: readonly Burst[], leases: LeaseFences, command: Command): Outcome {
     const refuse = (code: string, why: string): Outcome => ({ bursts, verdict: Verdicts.not(code, why) });
     const acknowledge = (code: string, why: string): Outcome => ({ bursts, verdict: Verdicts.ran(code, why) });
@@ -39,40 +45,41 @@
         generationCount = spec.prompts.length * spec.samples;
       if (existing)
         return existing.digest === digest
-          ? acknowledge('begun', `Burst ${burstKey} is begun.`)
+          ? acknowledge('begun', `Burst ${burstKey} has begun.`)
           : refuse('otherbody', `The key ${burstKey} was used for another burst.`);
       const promptBytes = spec.prompts.reduce((n, p) => n + Buffer.byteLength(p.prefix) + Buffer.byteLength(p.part), 0);
       if (generationCount > LIMITS.generationsPerBurst || promptBytes > LIMITS.promptBytes)
         return refuse(
           'toolarge',
-          `A burst has ${LIMITS.generationsPerBurst} generations and ${LIMITS.promptBytes} bytes of prompts at the most.`,
+          `A burst has ${LIMITS.generationsPerBurst} generations and ${LIMITS.promptBytes} bytes of prompts at most.`,
         );
       const keptBursts = bursts.filter((b) => !b.gone);
       if (
         keptBursts.length >= LIMITS.keptBursts ||
         keptBursts.reduce((n, b) => n + b.generations.length, 0) + generationCount > LIMITS.totalGenerations
       )
-        return refuse('full', 'Too many bursts are kept; end those whose outcomes were read.');
+        return refuse('full', 'Too many bursts are recorded; end those whose outcomes have been read.');
       const initial: Generation = { state: 'waiting', mark: 0, turn: 0, repeated: 0 };
       const order = 1 + bursts.reduce((n, b) => Math.max(n, b.order), 0);
       const created: Burst = {
         ...{ spec, digest, order, ended: false, gone: false },
         generations: Array.from({ length: generationCount }, () => initial),
       };
-      return { bursts: [...bursts, created], verdict: Verdicts.ran('begun', `Burst ${burstKey} is begun.`) };
+      return { bursts: [...bursts, created], verdict: Verdicts.ran('begun', `Burst ${burstKey} has begun.`) };
     };
-    /** What waits is dropped; once nothing runs, a second end forgets the outcomes too. */
+    /** Drops the waiting generations. Once none is running, a second `end` also deletes the outcomes. */
     const end = (burst: Burst): Outcome => {
-      if (burst.gone) return acknowledge('gone', `Burst ${burstKey} is ended, and its outcomes are gone.`);
+      if (burst.gone) return acknowledge('gone', `Burst ${burstKey} is ended and its outcomes are deleted.`);
       if (!isFinished(burst)) {
-        if (burst.ended) return acknowledge('ending', `Burst ${burstKey} is ended; what was begun runs on.`);
+        if (burst.ended)
+          return acknowledge('ending', `Burst ${burstKey} is ended; generations that have begun still run.`);
         const generations = burst.generations.map((g) =>
           g.state === 'waiting' ? { ...g, state: 'dropped' as const } : g,
         );
         return replaceBurst(
           { ...burst, ended: true, generations },
           'ending',
-          `Burst ${burstKey} is ended; what was begun runs on.`,
+          `Burst ${burstKey} is ended; generations that have begun still run.`,
         );
       }
       const forgotten = {
@@ -86,7 +93,7 @@
       const surplus = remaining.filter((x) => x.gone).slice(0, -LIMITS.forgottenBursts);
       return {
         bursts: remaining.filter((x) => !surplus.includes(x)),
-        verdict: Verdicts.ran('gone', `Burst ${burstKey} is ended, and its outcomes are gone.`),
+        verdict: Verdicts.ran('gone', `Burst ${burstKey} is ended and its outcomes are deleted.`),
       };
     };
     const replaceGeneration = (burst: Burst, index: number, generation: Generation, code: string): Outcome =>
@@ -103,7 +110,7 @@
         return acknowledge('marked', `${burstKey} ${request.index} is marked.`);
       const isFirstTurn = generation.state === 'waiting' && request.mark === generation.mark + 1 && request.turn === 1;
       if (!(isFirstTurn || (isSameMark && request.turn === generation.turn + 1)))
-        return refuse('stale', `${burstKey} ${request.index} is not as you know it.`);
+        return refuse('stale', `${burstKey} ${request.index} is not in the state that this request expects.`);
       return replaceGeneration(
         burst,
         request.index,
@@ -119,7 +126,7 @@
       const isCurrentMark =
         generation.state === 'begun' && generation.mark === request.mark && request.turn <= generation.turn;
       if (!isCurrentMark || (request.to !== 'ran' && request.turn !== generation.turn))
-        return refuse('stale', `${burstKey} ${request.index} is not as you know it.`);
+        return refuse('stale', `${burstKey} ${request.index} is not in the state that this request expects.`);
       const { fence: _fence, ...withoutFence } = generation;
       const reopened = { ...withoutFence, state: burst.ended ? ('dropped' as const) : ('waiting' as const) };
       if (request.to === 'unrun') return replaceGeneration(burst, request.index, reopened, 'settled');
--- a/packages/registry/src/lending/burstspec.ts
+++ b/packages/registry/src/lending/burstspec.ts
@@ -1,6 +1,6 @@
 import { Type, type Static } from 'typebox';
 
-/** What a burst asks for: each prompt is generated `samples` times, by a rule that may borrow. */
+/** What a burst asks for: each prompt is generated `samples` times, under a rule that may borrow capacity. */
 export const BurstSpec = Type.Object(
   {
     key: Type.String({ pattern: '^[\\w-]{1,60}$' }),
--- a/packages/registry/src/lending/burstsummary.ts
+++ b/packages/registry/src/lending/burstsummary.ts
@@ -19,7 +19,7 @@
   { additionalProperties: false },
 );
 
-/** A burst in counts. */
+/** A burst as counts of its generations by state. */
 export const BurstSummary = {
   schema: Schema,
   of(burst: Burst): Static<typeof Schema> {
--- a/packages/registry/src/lending/burstwords.ts
+++ b/packages/registry/src/lending/burstwords.ts
@@ -5,7 +5,7 @@
 
 const strict = { additionalProperties: false } as const;
 
-/** The forms of reading bursts at the tail. */
+/** Schemas for reading bursts from the tail. */
 export const BurstMessages = {
   readRequest: Type.Object({ key: Type.Optional(Type.String()), texts: Type.Optional(Type.Boolean()) }, strict),
   readReply: Type.Object(
--- a/packages/registry/src/lending/generation.ts
+++ b/packages/registry/src/lending/generation.ts
@@ -1,9 +1,10 @@
 import { Type, type Static } from 'typebox';
 
 /**
- * One generation of a burst. Invariants: `mark` only rises, and a request is sent for a mark only once the mark is
- * held by the core; 'waiting' means that no mark so far has run or will, or that it may be repeated; 'ran', 'unsure'
- * and 'dropped' never change. `turn` counts the runners that took one mark up; `fence` is that of the last.
+ * One generation of a burst. Invariants: `mark` only rises, and a request is sent for a mark only once that mark is
+ * committed; 'waiting' means that no mark so far has run or will run, or that the generation may be repeated; 'ran',
+ * 'unsure' and 'dropped' never change. `turn` counts the runners that took over the same mark; `fence` is the fencing
+ * token of the last of them.
  */
 export const Generation = Type.Object(
   {
--- a/packages/registry/src/lending/loan.ts
+++ b/packages/registry/src/lending/loan.ts
@@ -1,9 +1,10 @@
 import { Type, type Static } from 'typebox';
 
 /**
- * What of one server is lent: the body of the shared doc `loan:<server>`, under the fence of that server's row.
- * Invariants: written only by the holder of the row's lease; `slots` is 0 once it is given back, revoked or lapsed. It
- * tells of a loan; the loan itself is the lease that its holder was given, and ends with that.
+ * How much of one server is lent: the body of the shared document `loan:<server>`, under the fence of that server's
+ * row. Invariants: written only by the holder of the row's lease; `slots` is 0 once the loan is returned, revoked or
+ * expired. The document only describes the loan; the loan itself is the lease given to its holder, and ends with that
+ * lease.
  */
 export const Loan = Type.Object(
   {
--- a/packages/registry/src/lending/shards.ts
+++ b/packages/registry/src/lending/shards.ts
@@ -2,7 +2,10 @@
 
 const SHARD_COUNT = 8;
 
-/** Bursts are cut by key into a few shards; who holds a shard's lease runs them. So leases don't grow with keys. */
+/**
+ * Partitions bursts by key into a fixed number of shards. The holder of a shard's lease runs its bursts, so the number
+ * of leases does not grow with the number of bursts.
+ */
 export const Shards = {
   names: Array.from({ length: SHARD_COUNT }, (_, i) => `lend:${i}`),
   of: (key: string): string => `lend:${Hash.num(key) % SHARD_COUNT}`,
--- a/packages/registry/src/membership/addressbook.ts
+++ b/packages/registry/src/membership/addressbook.ts
@@ -5,16 +5,16 @@
 import type { View } from '../consensus/view.js';
 import { Views } from '../consensus/views.js';
 
-/** Lives whose address is remembered, and for how long after it was last heard. */
+/** Member incarnations whose address is remembered, and for how long after it was last reported. */
 const MAX_ADDRESSES = 64;
 const ADDRESS_TTL_MS = 60_000;
 type Identity = { id: string; born: string };
 
 /**
- * Where core daemons are met. The view's addresses are those of the day it was agreed: who has moved since can not be
- * reached at them, and no next view could be agreed to say so.
- * Invariants: an address goes with id and born, as that very life said them; it is only where to ask. Who replies there
- * speaks for itself alone, so a wrong one costs a question and never a vote.
+ * Current addresses of control replicas. A view has the addresses from when it was agreed: a member that has moved
+ * since cannot be reached there, and the next view could not be agreed to record the move. Invariants: an address
+ * belongs to an id and incarnation and was reported by that incarnation itself. It is used only to send requests: each
+ * replica replies for itself, so a wrong address costs a request but never affects a vote.
  */
 export const AddressBook = {
   make(world: World, post: PostBox, me: () => Member, cores: () => readonly string[]) {
@@ -24,9 +24,9 @@
     const record = (member: Member): void => addresses.set(identityKey(member), member.addr, ADDRESS_TTL_MS);
     return {
       record: record,
-      /** Where it last said that it is; else where the view has it. */
+      /** The address that the member last reported, else the one in the view. */
       addressOf: (member: Member): string => addresses.get(identityKey(member)) ?? member.addr,
-      /** Asks at all addresses where cores may be who is there now, once a second at the most. */
+      /** Asks all addresses where control replicas may be which replica is there now, at most once a second. */
       async search(view: View): Promise<void> {
         if (world.clock.mono() < nextSearchAt) return;
         nextSearchAt = world.clock.mono() + CoreTimings.addressSearchIntervalMs;
@@ -49,5 +49,5 @@
     };
   },
 };
-/** A address book as its users see it. */
+/** An address book as its callers see it. */
 export type AddressBook = ReturnType<typeof AddressBook.make>;
--- a/packages/registry/src/membership/failuredetector.ts
+++ b/packages/registry/src/membership/failuredetector.ts
@@ -7,15 +7,16 @@
 import { Views } from '../consensus/views.js';
 import type { Voter } from '../consensus/voter.js';
 
-/** Lives of core daemons that are remembered, and for how long after their last word. */
+/** Member incarnations that are remembered, and for how long after their last heartbeat. */
 const MAX_MEMBERS = 64;
 const MEMBER_TTL_MS = 60_000;
+/** The last heartbeat of a member; `fresh` says whether it holds the head's state of its view. */
 type Heartbeat = { at: number; sick: boolean; fresh: boolean; epoch: number; me: Member };
 
 /**
- * Beats between core daemons: who is there, and the lease that lets a chain member speak for the view.
- * Invariant: `live()` is true only while a majority of voters each granted a lease, counted from before it was
- * asked for.
+ * Heartbeats between control replicas: which members are alive, and the lease that lets a chain member act for the
+ * view. Invariant: `holdsLease()` is true only while a majority of the voters have each granted a lease, counted from
+ * before it was requested.
  */
 export const FailureDetector = {
   make(world: World, post: PostBox, me: () => Member, addresses: AddressBook, voter: Voter) {
@@ -32,7 +33,7 @@
     let newestView: View | null = null;
     const awaitingReply = new Set<string>();
     const lostDisks = Fading.make<boolean>(world.clock.mono, MAX_MEMBERS);
-    /** When the first beat went out of those that a member has not replied to since its last reply. */
+    /** When the first heartbeat was sent of those that a member has not answered since its last reply. */
     const unansweredSince = new Map<string, number>();
     const awake = Awake.make(world.clock, () => {
       leaseEnds.clear();
@@ -43,18 +44,22 @@
     return {
       recordHeartbeat: recordHeartbeat,
       lastHeartbeat: (member: Member): Heartbeat | undefined => heartbeats.get(identityKey(member)),
-      /** Silence, counted from the view's start for one never heard in it. */
+      /** Time since a member's last heartbeat, or since the view began if there was none in it. */
       silentForMs: (member: Member): number =>
         now() - Math.max(heartbeats.get(identityKey(member))?.at ?? 0, viewStartedAt),
-      /** For how long it has replied to no beat, however much of it is heard. */
+      /** How long a member has answered no heartbeat, even if its own heartbeats arrive. */
       unansweredForMs: (member: Member): number => now() - (unansweredSince.get(identityKey(member)) ?? now()),
-      /** Whether its place was found taken by one of the same id and another life: so it is no more. */
+      /**
+       * Whether another incarnation with the same id was found at the member's address, so this incarnation and its
+       * disk are gone.
+       */
       hasLostDisk: (member: Member): boolean => lostDisks.get(identityKey(member)) === true,
-      /** Lays down all leases, those still on their way too. */
+      /** Releases all leases, and ignores grants that were requested before. */
       releaseLeases(): void {
         leaseEnds.clear();
         resets++;
       },
+      /** Starts over for a new view: drops leases and unanswered heartbeats. */
       reset(): void {
         leaseEnds.clear();
         unansweredSince.clear();
@@ -67,7 +72,9 @@
         const grantCount = view.voters.filter((m) => (leaseEnds.get(identityKey(m)) ?? 0) > now()).length;
         return grantCount > view.voters.length / 2;
       },
-      /** One beat to every other member that has replied to the last; gives back the newest view met so far. */
+      /**
+       * Sends one heartbeat to every other member that has answered the last one; returns the newest view seen so far.
+       */
       async sendHeartbeats(view: View, self: { sick: boolean; fresh: boolean }): Promise<View | null> {
         awake.look();
         const sentAt = now(),
@@ -113,5 +120,5 @@
     };
   },
 };
-/** A failure detector as its users see it. */
+/** A failure detector as its callers see it. */
 export type FailureDetector = ReturnType<typeof FailureDetector.make>;
--- a/packages/registry/src/membership/livedaemons.ts
+++ b/packages/registry/src/membership/livedaemons.ts
@@ -5,8 +5,8 @@
 type Entry = { who: Ident; lastSeenAt: number; version: number; sum: string; load: Load };
 
 /**
- * Who is live, as the head has heard. Soft: lost with the head and learnt again.
- * Invariant: a roster is given out only once the head has listened for longer than a silence that drops a daemon.
+ * Daemons that checked in with the head. Soft state: lost with the head and rebuilt from check-ins. Invariant: a roster
+ * is returned only once the head has listened for longer than the silence after which a daemon is dropped.
  */
 export const LiveDaemons = {
   make(clock: Clock) {
@@ -29,6 +29,7 @@
         next.delete(id);
         entries = next;
       },
+      /** The live daemons by id; null while the head has not listened long enough. */
       roster: (): Ident[] | null =>
         clock.mono() - listeningSince < CoreTimings.daemonExpiryMs
           ? null
@@ -40,6 +41,7 @@
           read: 0,
           write: 0,
         }),
+      /** Every daemon that has checked in, live or not, with the time since its last check-in. */
       withAges: () =>
         [...entries.values()].map((s) => ({
           who: s.who,
--- a/packages/registry/src/membership/member.ts
+++ b/packages/registry/src/membership/member.ts
@@ -1,7 +1,9 @@
 import { Addr } from '@pumicebarrow/forms';
 import { Type, type Static } from 'typebox';
 
-/** One core daemon in a view. `id` with `born` is who it is; `addr` is only where it is met. */
+/**
+ * One control replica in a view. `id` and `born` (its incarnation) identify it; `addr` is only where it can be reached.
+ */
 export const Member = Type.Object(
   { id: Type.String(), born: Type.String(), addr: Addr },
   { additionalProperties: false },
--- a/packages/registry/src/membership/memberidentity.ts
+++ b/packages/registry/src/membership/memberidentity.ts
@@ -1,7 +1,10 @@
 import { Dice, Ok, type Result, type World } from '@pumicebarrow/forms';
 import type { Store } from '../state/store.js';
 
-/** Who a core daemon is: as its disk remembers, or newly born and so written before it says a word. */
+/**
+ * The identity of a control replica: its incarnation is read from disk, or created and written before it sends any
+ * message.
+ */
 export const Self = {
   async born(world: World, store: Store, restored: string | null): Promise<Result<string, string>> {
     if (restored !== null) return Ok(restored);
--- a/packages/registry/src/membership/repairtask.ts
+++ b/packages/registry/src/membership/repairtask.ts
@@ -7,24 +7,24 @@
 import { NextViews } from '../consensus/nextviews.js';
 import { Views } from '../consensus/views.js';
 
-/** ms without a lease, though all are heard, after which the view is made anew. */
+/** Time without a lease, though heartbeats arrive from all members, after which the view is renewed. */
 const NO_LEASE_TIMEOUT_MS = 2 * CoreTimings.suspectAfterMs;
-/** ms for which a member that is heard may leave our beats without a reply: what is sent to it is lost. */
+/** Time for which a member whose heartbeats arrive may leave ours unanswered: our messages to it are lost. */
 const UNANSWERED_TIMEOUT_MS = 2 * CoreTimings.suspectAfterMs;
 
 /**
- * What a member of the chain that votes does about the others: those that are silent, deaf or sick go out of the
- * chain, and a vote goes to a member that has caught up. Invariants: the vote of a daemon goes to its heir of the
- * same id, if that stands in the chain, and else only once its owner is out of the chain and silent, or leaves. A
- * change that was promised and then given up bars every lease for good; so whoever goes long without makes the view
- * anew.
+ * How a voter in the chain repairs the view: silent, unresponsive or unhealthy members are removed from the chain, and
+ * votes go to members that have caught up. Invariants: a daemon's vote goes to a chain member with the same id, if
+ * there is one; otherwise only once its owner is out of the chain and silent, or leaves. A view change that was
+ * promised and then abandoned blocks every lease for good, so a voter that gets no lease for a long time renews the
+ * view.
  */
 export const RepairTask = {
   make(me: () => Member, mono: () => number, detector: FailureDetector, viewChanger: ViewChanger, chain: Chain) {
     const isSelf = (member: Member): boolean => Views.same(member, me());
     const isFaulty = (member: Member): boolean =>
       detector.lastHeartbeat(member)?.sick === true || detector.hasLostDisk(member);
-    /** One that a majority does not reply to is cut off itself, and can't tell who else is. */
+    /** A member that a majority does not answer is cut off itself and cannot tell which others are. */
     const majorityReplies = (view: View): boolean =>
       view.voters.filter((m) => isSelf(m) || detector.unansweredForMs(m) < CoreTimings.suspectAfterMs).length >=
       Views.most(view);
@@ -36,7 +36,7 @@
       const heartbeat = detector.lastHeartbeat(member);
       return heartbeat?.fresh === true && heartbeat.epoch === view.epoch;
     };
-    /** Members without a vote that hold all of this view. */
+    /** Chain members without a vote that hold the whole state of this view. */
     const caughtUpNonVoters = (view: View): Member[] =>
       view.chain.filter((m) => !isSelf(m) && !Views.votes(view, m) && isFresh(view, m));
     const knowledge = (view: View) => ({
@@ -46,7 +46,7 @@
     const propose = (view: View, next: View | null, reason: string): void => {
       if (next) void viewChanger.propose(view.voters, next, reason);
     };
-    /** A member of the reserve as the head, if one is heard and all complete members of the chain are away. */
+    /** Makes a reachable member of the reserve the head, if all complete chain members are unavailable. */
     const reserveTakeover = (view: View, away: readonly Member[]): View | null => {
       const isReachable = (m: Member): boolean =>
         isSelf(m) || (detector.silentForMs(m) < CoreTimings.suspectAfterMs && !isFaulty(m));
@@ -70,7 +70,7 @@
       const reason = `${faulty.map((m) => m.id).join(', ')}: ${cause}.`;
       propose(view, NextViews.without(view, faulty, knowledge(view)) ?? reserveTakeover(view, faulty), reason);
     };
-    /** Who takes whose vote, if there is such a change to be made. */
+    /** Which vote should be transferred to which member; null if none. */
     const voteTransfer = (view: View): { newVoter: Member; oldVoter: Member } | null => {
       const caughtUp = caughtUpNonVoters(view);
       for (const newVoter of caughtUp) {
@@ -90,9 +90,13 @@
       else noLeaseSince ??= mono();
       if (noLeaseSince === null || mono() - noLeaseSince <= NO_LEASE_TIMEOUT_MS + delayMs) return;
       noLeaseSince = null;
-      propose(view, NextViews.without(view, [], knowledge(view)), 'No lease was granted, though all are heard.');
+      propose(
+        view,
+        NextViews.without(view, [], knowledge(view)),
+        'No lease was granted, though heartbeats arrive from all members.',
+      );
     };
-    /** Records as complete those that have caught up, where nothing is confirmed before that. */
+    /** Records members that have caught up as complete, where nothing can be committed before that. */
     const recordCompletion = (view: View): void => {
       const majority = Views.most(view);
       if (Views.complete(view).length >= majority || !isSelf(Views.head(view))) return;
@@ -100,15 +104,16 @@
       if (next && Views.complete(next).length >= majority) propose(view, next, 'Enough members are complete again.');
     };
     return {
-      /** The view in which a member that asks to join stands at the tail; null if there is none. */
+      /** The view with a joining member at the tail; null if there is none. */
       viewWithNewcomer: (view: View, newcomer: Member): View | null =>
         NextViews.withTail(view, newcomer, knowledge(view)),
-      /** What a member of the reserve does: it becomes the head once the whole chain that could lead is away. */
+      /** Run by a member of the reserve: it becomes the head once every chain member that could lead is unavailable. */
       takeOverFromReserve(view: View): void {
         if (viewChanger.isBusy() || !Views.votes(view, me()) || !Views.isInReserve(view, me())) return;
         const away = view.chain.filter((m) => shouldRemove(view, m));
-        propose(view, reserveTakeover(view, away), `${me().id} leads from the reserve.`);
+        propose(view, reserveTakeover(view, away), `${me().id} takes over as head from the reserve.`);
       },
+      /** Run by a voter in the chain at each heartbeat interval: proposes at most one repair. */
       checkMembers(view: View): void {
         if (viewChanger.isBusy() || !Views.votes(view, me())) return;
         const peers = view.chain.filter((m) => !isSelf(m));
@@ -121,7 +126,7 @@
         if (viewChanger.isBusy()) return;
         const transfer = voteTransfer(view);
         if (transfer) {
-          const why = `${transfer.newVoter.id} has caught up and votes.`;
+          const why = `${transfer.newVoter.id} has caught up and becomes a voter.`;
           propose(view, NextViews.withVoter(view, transfer.newVoter, transfer.oldVoter, knowledge(view)), why);
           return;
         }
@@ -133,7 +138,7 @@
         });
         if (Views.same(Views.head(view), me()) && behind) chain.resync();
       },
-      /** Proposes the view without this daemon; its vote goes along if there is one to take it. */
+      /** Proposes the view without this daemon; its vote goes to a caught-up member if there is one. */
       async leave(view: View): Promise<boolean> {
         const next = NextViews.without(view, [me()], knowledge(view));
         if (!next || Views.complete(next).length < Views.most(view)) return false;
--- a/packages/registry/src/registrar.ts
+++ b/packages/registry/src/registrar.ts
@@ -8,33 +8,36 @@
 import { TraceDesk } from './service/tracedesk.js';
 import { Views } from './consensus/views.js';
 
-/** Addresses to begin with; those that may change while the daemon lives are asked for. */
+/** Initial addresses; a function is called again whenever they are needed, for addresses that change at run time. */
 type Seeds = readonly string[] | (() => readonly string[]);
 type Settings = { id: string; addr: string; site: string; seeds: Seeds; tunes: Tunes } & {
-  /** How many machines may be lost at once: the first view has twice as many members and one more. */
+  /** Number of machines that may be lost at the same time: the first view has twice as many members plus one. */
   losses?: number;
-  /** Whether this daemon, with an empty folder, may have a part in making the first view; else it only joins. */
+  /** Whether this daemon, with an empty data folder, may help to form the first view; otherwise it only joins one. */
   first?: boolean;
-  /** Which docs this daemon holds, where that is more than the registry's own. */
+  /** Accepts the shared documents that this daemon stores, where that is more than the registry's own. */
   sound?: (doc: Doc) => boolean;
-  /** Daemons that are known by other means than the core's check-ins. */
+  /** Peers known by other means than check-ins with the head. */
   known?: () => readonly Ident[];
 };
 
-/** A core daemon put together: disk, core and purge. */
+/** A control replica assembled from its parts: disk, core, gossip and messaging. */
 export const Registrar = {
   async make(world: World, settings: Settings) {
-    if (!world.disk) return Err('a core daemon needs a data folder') as Result<never, string>;
+    if (!world.disk) return Err('a control replica requires a data folder') as Result<never, string>;
     const store = Store.make(world, world.disk);
     const log = world.log('core');
     const restored = await store.load();
     if (restored.err) return Err(restored.val) as Result<never, string>;
-    if (restored.val.bad) log.warn('A damaged file was found; all were set aside. Rejoining as a newcomer.');
+    if (restored.val.bad)
+      log.warn('Found a damaged or missing data file; set all data files aside. Rejoining as a newcomer.');
     const incarnation = await Self.born(world, store, restored.val.born);
     if (incarnation.err) return Err(incarnation.val) as Result<never, string>;
     const { seq, charter } = restored.val.state;
     const diskSummary =
-      restored.val.born === null ? 'with an empty disk' : `holding ${seq}, configuration ${charter?.version ?? 0}`;
+      restored.val.born === null
+        ? 'with an empty disk'
+        : `holding state ${seq}, configuration ${charter?.version ?? 0}`;
     log.say(`Started as ${settings.id}/${incarnation.val} ${diskSummary}, view ${restored.val.view?.epoch ?? 0}.`);
     const ident: Ident = {
       id: settings.id,
@@ -98,13 +101,13 @@
       purge,
       shelf: recordStore,
       post,
-      /** Reads and writes as any other daemon does; the head or the tail may be this one. */
+      /** Reads and writes as any other daemon does; the head or the tail may be this daemon. */
       line: ControlClient.make(world, post, coreAddresses, core.view),
       start(): void {
         core.start();
         purge.start();
       },
-      /** Tells the others that this daemon goes, for a second at the most. It must still be stopped. */
+      /** Leaves the view, which takes a second at most. `stop` must still be called. */
       leave: (): Promise<void> => core.leave(),
       stop(): void {
         core.stop();
--- a/packages/registry/src/service/coredesk.ts
+++ b/packages/registry/src/service/coredesk.ts
@@ -16,7 +16,7 @@
   isHead: () => boolean;
 };
 
-/** Where other daemons come to the core: commands and check-ins at the head, reading at the tail, the view anywhere. */
+/** Serves other daemons: commands and check-ins at the head, reads at the tail, the view on any member. */
 export const CoreService = {
   make(world: World, post: PostBox, hooks: Hooks) {
     const liveDaemons = LiveDaemons.make(world.clock);
--- a/packages/registry/src/service/coremessages.ts
+++ b/packages/registry/src/service/coremessages.ts
@@ -12,7 +12,10 @@
 const strict = { additionalProperties: false } as const;
 const nullableView = Type.Union([View, Type.Null()]);
 
-/** The forms of what the core says, and of what is said to it. */
+/**
+ * Schemas of the messages to and from control replicas, in pairs of request and reply. `claim` in a heartbeat reply
+ * says whether a lease was granted; `took` is the view that a voter has accepted.
+ */
 export const CoreMessages = {
   heartbeat: Type.Object({ me: Member, epoch: Type.Integer(), sick: Type.Boolean(), fresh: Type.Boolean() }, strict),
   heartbeatReply: Type.Object(
--- a/packages/registry/src/service/coremeter.ts
+++ b/packages/registry/src/service/coremeter.ts
@@ -4,9 +4,9 @@
 
 type Node = Extract<Awaited<ReturnType<typeof Registrar.make>>, { ok: true }>['val'];
 
-/** What a core daemon counts for those on call. */
+/** Metrics of a control replica for operators. */
 export const CoreMeter = {
-  /** The same world, whose deeds are counted too. */
+  /** Wraps `world` so that its history events are counted as well. */
   listen(world: World, meters: Metering): World {
     const diskWriteSeconds = meters.time('disk_write_seconds', 'to write, sync and rename one file', ['kind', 'done']);
     const writes = meters.count('chain_writes_total', 'versions begun at the head');
@@ -26,7 +26,7 @@
       },
     };
   },
-  /** How it stands, read when it is asked for. */
+  /** Registers gauges that are read at each scrape. */
   levels(meters: Metering, node: Node): void {
     const { core } = node;
     const position = (): number => {
--- a/packages/registry/src/service/coremetrics.ts
+++ b/packages/registry/src/service/coremetrics.ts
@@ -4,7 +4,10 @@
 
 type Daemon = { core: ReturnType<typeof Core.make>; ident: { id: string; born: string } };
 
-/** How a core daemon stands, as metrics: its place in the view, its lease, and what it holds and knows to be passed. */
+/**
+ * The state of a control replica as metric families: its place in the view, its lease, its state on disk and the
+ * committed state.
+ */
 export const CoreMetrics = {
   families(daemon: Daemon): MetricFamily[] {
     const view = daemon.core.view();
--- a/packages/registry/src/service/diff.ts
+++ b/packages/registry/src/service/diff.ts
@@ -33,11 +33,11 @@
   changes.push({ path, was: before ?? null, will: after ?? null, words });
 };
 
-/** A routing's source says nothing that the rest of it does not. */
+/** The source of a routing adds nothing to the rest of it. */
 const withoutSource = (intent: Intent): unknown =>
   Intents.routing(intent) ? { ...intent, source: undefined } : intent;
 
-/** What a plan would change, in JSON and in plain words. */
+/** What a plan would change, as data and as sentences for operators. */
 export const Diff = {
   of(before: Intent | null, after: Intent): Change[] {
     const changes: Change[] = [];
--- a/packages/registry/src/service/tracedesk.ts
+++ b/packages/registry/src/service/tracedesk.ts
@@ -3,6 +3,7 @@
 import { Type } from 'typebox';
 
 const strict = { additionalProperties: false } as const;
+/** How one version of a document arrived: through which exchange (`via`), from which peer and origin. */
 const Step = Type.Object(
   {
     name: Type.String(),
@@ -18,7 +19,7 @@
   strict,
 );
 
-/** Where a daemon tells what it holds and how that came to be. */
+/** Reports which shared documents a daemon holds and how each of them reached it. */
 export const TraceDesk = {
   forms: {
     request: Type.Object({ name: Type.Optional(Type.String()) }, strict),
--- a/packages/registry/src/service/warnings.ts
+++ b/packages/registry/src/service/warnings.ts
@@ -1,6 +1,7 @@
 import { Intents, type Charter, type Intent } from '@pumicebarrow/forms';
 
 type InUse = { server: string; part: string; stage: string };
+/** A limit that falls below this fraction of its old value gets a warning. */
 const LARGE_REDUCTION_FRACTION = 0.5;
 const totalSlots = (configuration: Charter): number => configuration.servers.reduce((n, s) => n + s.slots, 0);
 const reductionPercent = (before: number, after: number): string => `${Math.round((100 * (before - after)) / before)}%`;
@@ -40,7 +41,7 @@
       : [];
   });
 
-/** Whether capacity is lent that was not lent before, or is kept no more; and whose bursts will come to rest. */
+/** Warns if capacity is newly lent or no longer reserved, and names the rules whose bursts stop. */
 const lendingWarnings = (before: Charter, after: Charter): string[] => {
   const warnings: string[] = [],
     [lendingBefore, lendingAfter] = [before.lending, after.lending];
@@ -60,7 +61,7 @@
   return warnings;
 };
 
-/** What of a plan an operator should look at twice, in plain words. It is said, never held against the plan. */
+/** Parts of a plan that an operator should check, as sentences. Warnings never block a plan. */
 export const Warnings = {
   of(before: Intent | null, after: Intent, rows: readonly InUse[]): string[] {
     const oldConfiguration = Intents.charter(before),
--- a/packages/registry/src/state/apply.ts
+++ b/packages/registry/src/state/apply.ts
@@ -9,35 +9,38 @@
 const MAX_PLANS = 200;
 const MAX_OPEN_PLANS = 32;
 
-/** The latest are kept; the plan in force and those still open are never among the ones that go. */
+/** Stores a plan and drops the oldest ones beyond MAX_PLANS, but never the plan in force or an open one. */
 const storePlan = (state: CoreState, plan: Plan): CoreState => {
   const plans = [...state.plans.filter((p) => p.id !== plan.id), plan];
   const isRetained = (p: Plan): boolean => p.fate === 'open' || p.id === state.charter?.plan;
   const evicted = plans.filter((p) => !isRetained(p)).slice(0, Math.max(0, plans.length - MAX_PLANS));
   return { ...state, plans: plans.filter((p) => !evicted.includes(p)) };
 };
-/** Of a plan that is not known: 'no' only while none was ever forgotten. */
+/** The verdict on an unknown plan: 'no' only while no plan was ever dropped, since a dropped one may have won. */
 const unknownPlan = (state: CoreState, id: string): Verdict =>
   state.plans.length < MAX_PLANS
     ? Verdicts.not('unknown', `There is no plan ${id}.`)
-    : Verdicts.maybe('forgotten', `Plan ${id} is not among the latest; what became of it is not known any more.`);
+    : Verdicts.maybe('forgotten', `Plan ${id} is no longer recorded; its outcome is unknown.`);
 
 /**
- * Whether a replacement over `base` that is not remembered can never have won. One that won is remembered while any
- * over a lower revision is; over a revision that never was in force, or is not yet, none has won.
+ * Whether a replacement of revision `base` that is not recorded can never have won. One that won stays recorded as long
+ * as any that replaced a lower revision does; a revision that never was in force, or is not yet, has not been replaced.
  */
 const neverWon = (state: CoreState, base: number, currentRevision: number): boolean =>
   state.plans.length < MAX_PLANS ||
   base > currentRevision ||
   state.plans.some((p) => p.over !== undefined && p.over <= base);
-/** Routes never give way to a charter, nor to routes of an older revision: so no revision is in force twice. */
+/**
+ * A routing can be replaced only by a routing of a higher revision, never by a fleet configuration, so no revision is
+ * in force twice.
+ */
 const revisionFault = (currentIntent: Intent | undefined, nextIntent: Intent): Verdict | null => {
   const revision = Intents.revision(currentIntent);
   if (revision === 0 || Intents.revision(nextIntent) > revision) return null;
   return Verdicts.bad([{ path: '/revision', why: `must be above ${revision}, which is in force` }]);
 };
 
-/** What each command does to the core's state. Pure: the same state and command give the same outcome. */
+/** Applies commands to the replicated state. Pure: the same state and command give the same result on every replica. */
 export const Apply = {
   empty: { seq: 0, charter: null, plans: [], claims: {} } as CoreState,
   one(state: CoreState, command: Command): Outcome {
@@ -60,11 +63,14 @@
             ruling: { verdict: Verdicts.ran('planned', `Plan ${command.id} is stored.`), fate: existing.fate },
           };
         if (command.base !== currentVersion)
-          return refuse('stale', `The plan is against version ${command.base}; version ${currentVersion} is in force.`);
+          return refuse(
+            'stale',
+            `The plan is based on version ${command.base}; version ${currentVersion} is in force.`,
+          );
         const fault = revisionFault(state.charter?.body, command.charter);
         if (fault) return { state, ruling: { verdict: fault } };
         if (state.plans.filter((p) => p.fate === 'open').length >= MAX_OPEN_PLANS)
-          return refuse('full', 'Too many plans are open; drop some.');
+          return refuse('full', 'Too many plans are open; drop some of them.');
         const next = storePlan(state, { id: command.id, base: command.base, fate: 'open', charter: command.charter });
         return {
           state: next,
@@ -80,13 +86,17 @@
         });
         if (existing?.fate === 'won') return { state, ruling: wonResult(existing.version!) };
         if (existing)
-          return refuse('taken', `${command.id} is the name of a plan that is ${existing.fate}.`, existing.fate);
+          return refuse(
+            'taken',
+            `${command.id} is already the id of a plan whose fate is ${existing.fate}.`,
+            existing.fate,
+          );
         if (command.base !== revision && !neverWon(state, command.base, revision))
           return { state, ruling: { verdict: unknownPlan(state, command.id) } };
         if (command.base !== revision)
           return refuse(
             'lost',
-            `${command.id} is against revision ${command.base}; revision ${revision} is in force.`,
+            `${command.id} is based on revision ${command.base}; revision ${revision} is in force.`,
             'lost',
           );
         const fault = revisionFault(state.charter?.body, command.intent);
@@ -156,7 +166,7 @@
             ruling: { verdict: Verdicts.ran('dropped', `Plan ${command.id} is dropped.`), fate: 'dropped' },
           };
         if (existing.fate !== 'open')
-          return refuse(existing.fate, `Plan ${command.id} was ${existing.fate} before.`, existing.fate);
+          return refuse(existing.fate, `Plan ${command.id} was already ${existing.fate}.`, existing.fate);
         const next = storePlan(state, { id: existing.id, base: existing.base, fate: 'dropped' });
         return {
           state: next,
--- a/packages/registry/src/state/charterbody.ts
+++ b/packages/registry/src/state/charterbody.ts
@@ -1,7 +1,7 @@
 import { Intent } from '@pumicebarrow/forms';
 import { Type, type Static } from 'typebox';
 
-/** The body of the shared doc `charter`. Its mark is (version, 0). */
+/** The body of the shared document `charter`, which is the configuration in force. Its mark is (version, 0). */
 export const CharterBody = Type.Object(
   {
     version: Type.Integer({ minimum: 1 }),
--- a/packages/registry/src/state/corestate.ts
+++ b/packages/registry/src/state/corestate.ts
@@ -4,9 +4,9 @@
 import { Plan } from './plan.js';
 
 /**
- * All that the core keeps, one immutable version a write.
- * Invariants: `seq` rises by one a write; `charter.version` rises by one a confirm or a
- * replacement; a routing's revision only rises; a lease's fence only rises.
+ * The replicated state; each write produces a new immutable version. Invariants: `seq` rises by one with each write;
+ * `charter.version` rises by one with each confirmed plan or replacement; a routing's revision only rises; a lease's
+ * fence only rises. `charter` is the configuration in force, `claims` are the named leases.
  */
 export const CoreState = Type.Object(
   {
--- a/packages/registry/src/state/plan.ts
+++ b/packages/registry/src/state/plan.ts
@@ -2,9 +2,9 @@
 import { Type, type Static } from 'typebox';
 
 /**
- * A stored proposal. Invariant: 'open' may become any of the others once; the others never change.
- * `charter` is kept only while open; `over` is there
- * of what won as a replacement and of nothing else, and no two have the same.
+ * A stored proposal of a configuration. Invariant: 'open' changes once to one of the other fates, which never change.
+ * `charter` is the proposed configuration, kept only while open. `over` is set only on a replacement that won, and no
+ * two plans have the same value.
  */
 export const Plan = Type.Object(
   {
--- a/packages/registry/src/state/recordcheck.ts
+++ b/packages/registry/src/state/recordcheck.ts
@@ -5,7 +5,7 @@
 import { SheetRow } from '../duties/sheetrow.js';
 import { Sighting } from '../duties/sighting.js';
 
-/** Whether a shared doc is what its name says. Nothing else is put on a shelf. */
+/** Checks that a shared document has the body that its name requires. Only such documents are stored. */
 export const RecordCheck = {
   doc(doc: Doc): boolean {
     if (doc.name === 'charter') {
--- a/packages/registry/src/state/statechange.ts
+++ b/packages/registry/src/state/statechange.ts
@@ -9,8 +9,8 @@
 const versionKeys = { seq: Type.Integer({ minimum: 0 }), digest: Type.String() };
 
 /**
- * What one version of the core's state is changed by to become another. Invariant: it applies to the version named by
- * `base` and to no other, and what comes out must have the digest of `result`.
+ * The change from one version of the replicated state to another. Invariant: it applies only to the version named by
+ * `base`, and the outcome must have the digest in `result`.
  */
 export const StateChange = Type.Object(
   {
--- a/packages/registry/src/state/statechanges.ts
+++ b/packages/registry/src/state/statechanges.ts
@@ -5,12 +5,12 @@
 import type { StateChange } from './statechange.js';
 import { StateDigest } from './statedigest.js';
 
-type Configuration = NonNullable<CoreState['charter']>;
-/** Characters of a configuration from which on it is sent as what has changed. */
+type VersionedConfiguration = NonNullable<CoreState['charter']>;
+/** A configuration of at least this many characters is sent as a partial change. */
 const MIN_PARTIAL_CHARS = 2048;
 
 const samePlan = (a: Plan | undefined, b: Plan): boolean => a?.id === b.id && a.fate === b.fate;
-/** How many of the first plans of `to` stand in `from` in the same order. */
+/** How many of the first plans of `to` are in `from` in the same order. */
 const retainedPlanCount = (from: readonly Plan[], to: readonly Plan[]): number => {
   let index = 0;
   let retained = 0;
@@ -31,14 +31,14 @@
   );
 
 /**
- * Computes and applies what changed between two versions of the core's state. Invariant: `apply` gives exactly the
- * version that `between` was given, or null.
+ * Computes and applies changes between two versions of the replicated state. Invariant: `apply` returns exactly the
+ * version that `between` was given as its target, or null.
  */
 export const StateChanges = {
   make() {
     const parts = DocParts.make(MIN_PARTIAL_CHARS);
-    const docs = new WeakMap<Configuration, Doc>();
-    const docOf = (configuration: Configuration): Doc => {
+    const docs = new WeakMap<VersionedConfiguration, Doc>();
+    const docOf = (configuration: VersionedConfiguration): Doc => {
       const cached = docs.get(configuration);
       if (cached) return cached;
       const created: Doc = { name: 'charter', mark: [configuration.version, 0], body: configuration.body };
@@ -46,21 +46,25 @@
       return created;
     };
     const configurationChange = (
-      from: Configuration | null,
-      to: Configuration,
+      from: VersionedConfiguration | null,
+      to: VersionedConfiguration,
     ): NonNullable<StateChange['charter']> => {
       const heldParts = from ? parts.held(docOf(from)) : null;
       const part = heldParts === null ? null : parts.part(docOf(to), heldParts);
       return part ? { version: to.version, plan: to.plan, part } : to;
     };
     const applyConfigurationChange = (
-      from: Configuration | null,
+      from: VersionedConfiguration | null,
       change: NonNullable<StateChange['charter']>,
-    ): Configuration | null => {
+    ): VersionedConfiguration | null => {
       if ('body' in change) return change;
       const patched = from ? parts.lay(docOf(from), change.part) : null;
       if (!patched) return null;
-      const created = { version: change.version, plan: change.plan, body: patched.body as Configuration['body'] };
+      const created = {
+        version: change.version,
+        plan: change.plan,
+        body: patched.body as VersionedConfiguration['body'],
+      };
       docs.set(created, patched);
       return created;
     };
@@ -79,7 +83,10 @@
           ...(to.bursts && to.bursts !== from.bursts ? { bursts: to.bursts } : {}),
         };
       },
-      /** The version that a change makes of the one held; null unless it is the one that the change is against. */
+      /**
+       * Applies a change to the version held; null if the change is against another version or its outcome does not
+       * match.
+       */
       apply(from: CoreState, change: StateChange): CoreState | null {
         if (from.seq !== change.base.seq || StateDigest.of(from) !== change.base.digest) return null;
         if (change.result.digest === change.base.digest) return from;
--- a/packages/registry/src/state/statedigest.ts
+++ b/packages/registry/src/state/statedigest.ts
@@ -12,8 +12,8 @@
 };
 
 /**
- * A digest of one version of the core's state. With the sequence number it names a version: two members that hold the
- * same number and digest hold the same state. Computed once for each immutable version.
+ * A digest of one version of the replicated state. Together with the sequence number it identifies a version: two
+ * members with the same number and digest hold the same state. Computed once for each immutable version.
  */
 export const StateDigest = {
   of(state: CoreState): string {
--- a/packages/registry/src/state/store.ts
+++ b/packages/registry/src/state/store.ts
@@ -14,16 +14,16 @@
 ] as const;
 type Restored = { born: string | null; view: View | null; vote: Vote | null; state: CoreState; bad: boolean };
 
-/** Whether a kind is missing. Folders of the release before this one did not begin with a file of each. */
+/** Whether a file kind is missing. Data folders of the previous release did not start with one file of each kind. */
 const isIncomplete = (
   self: Static<typeof IdentitySchema> | undefined,
   loaded: ReadonlyMap<string, unknown>,
 ): boolean => (self ? self.whole === true && loaded.size < SCHEMAS.length : loaded.size > 0);
 
 /**
- * What a core daemon has on disk. Invariants: each kind's file number only rises, whatever the version inside;
- * `self` is written last, once there is a file of every other kind. So a daemon that finds a file damaged, or one
- * of a kind missing, has lost something that it may have said: it sets all aside and is nobody it was before.
+ * The files of a control replica. Invariants: the file number of each kind only rises, whatever the version inside;
+ * `self` is written last, once a file of every other kind exists. So a daemon that finds a damaged or missing file has
+ * lost something that it may have told others: it sets all files aside and starts with a new incarnation.
  */
 export const Store = {
   make(world: World, disk: Disk) {
@@ -43,12 +43,12 @@
     };
     return {
       put,
-      /** How long the longest write under way has taken. */
+      /** How long the oldest pending write has taken, in ms. */
       longestPendingWriteMs(): number {
         const oldestStart = Math.min(...pendingWrites.values());
         return pendingWrites.size === 0 ? 0 : world.clock.mono() - oldestStart;
       },
-      /** Reads what is kept; sets it all aside unless it is whole. */
+      /** Loads all files; sets them all aside if any is damaged or missing. */
       async load(): Promise<Result<Restored, string>> {
         const got = new Map<string, unknown>();
         let bad = false;
@@ -76,7 +76,10 @@
           bad: false,
         });
       },
-      /** Says who this daemon is. Invariant: not before there is a file of every other kind. */
+      /**
+       * Records the identity of this daemon. Invariant: called only once a file of every other kind exists, or with
+       * `isNew`, which writes those first.
+       */
       async saveIdentity(incarnation: string, isNew: boolean): Promise<Result<void, string>> {
         for (const [kind, value] of isNew
           ? ([
@@ -93,5 +96,5 @@
     };
   },
 };
-/** A store as its users see it. */
+/** A store as its callers see it. */
 export type Store = ReturnType<typeof Store.make>;
