--- a/packages/registry/src/chain/controlclient.test.ts
+++ b/packages/registry/src/chain/controlclient.test.ts
@@ -9,50 +9,56 @@
 const view = (epoch: number, chain: readonly string[]): View => ({ epoch, voters, chain: chain.map(member) });
 const old = view(5, ['c2', 'c3', 'c1']);
 const next = view(6, ['c3', 'c1']);
-const checked = (ok: boolean, v: View) => ({ ok, view: v, version: 8, roster: [], load: { read: 0, write: 0 } });
+const checked = (ok: boolean, newView: View) => ({
+  ok,
+  view: newView,
+  version: 8,
+  roster: [],
+  load: { read: 0, write: 0 },
+});
 
-/** A line that knows the old view, among daemons that reply in so many ms, or never. */
-const bench = (
+/** A client that knows the old view, among daemons that reply after `replyMs` or, if in `silent`, never. */
+const setUp = (
   silent: readonly string[],
-  knowing: readonly string[],
+  informed: readonly string[],
   seeds: readonly string[] = [],
-  ms = 2,
-  known = true,
+  replyMs = 2,
+  startsWithView = true,
 ) => {
   let now = 0;
   let timers: Timed[] = [];
   const asked: string[] = [];
   const after = (ms: number, fn: () => void): (() => void) => {
-    const t = { at: now + ms, fn };
-    timers.push(t);
+    const timer = { at: now + ms, fn };
+    timers.push(timer);
     return () => {
-      timers = timers.filter((x) => x !== t);
+      timers = timers.filter((x) => x !== timer);
     };
   };
   const replies = (id: string, kind: string): unknown => {
-    const v = knowing.includes(id) ? next : old;
-    return kind === 'core.hint' ? { view: v } : checked(v.chain[0]!.id === id, v);
+    const reported = informed.includes(id) ? next : old;
+    return kind === 'core.hint' ? { view: reported } : checked(reported.chain[0]!.id === id, reported);
   };
   const post = {
     on: () => undefined,
-    ask: (addr: string, _to: string, kind: string, _body: unknown, _form: unknown, most: number) => {
+    ask: (addr: string, _to: string, kind: string, _body: unknown, _form: unknown, timeoutMs: number) => {
       const id = addr.slice(0, 2);
       asked.push(`${now} ${id} ${kind}`);
       return new Promise((done) => {
-        if (silent.includes(id)) after(most, () => done(Err('lost')));
-        else after(ms, () => done(Ok(replies(id, kind))));
+        if (silent.includes(id)) after(timeoutMs, () => done(Err('lost')));
+        else after(replyMs, () => done(Ok(replies(id, kind))));
       });
     },
   } as unknown as PostBox;
   const clock = { mono: () => now, wall: () => now, after };
   const world = { clock, chance: { real: () => 0.5 } } as unknown as World;
-  const line = ControlClient.make(world, post, () => seeds);
-  if (known) line.learn(old);
+  const client = ControlClient.make(world, post, () => seeds);
+  if (startsWithView) client.learn(old);
   return {
     asked,
-    line,
+    line: client,
     after,
-    /** Lets time go on until the job is done, and says when that was. */
+    /** Advances time until the job is done and returns the time at which it was. */
     async until(job: Promise<unknown>): Promise<number> {
       let open = true;
       void job.then(() => {
@@ -61,72 +67,72 @@
       for (;;) {
         await new Promise((done) => setImmediate(done));
         if (!open) return now;
-        const first = timers.sort((a, b) => a.at - b.at).shift();
-        if (!first) throw new Error('Nothing is left to wait for.');
+        const first = timers.sort((a, fixture) => a.at - fixture.at).shift();
+        if (!first) throw new Error('No timer is left to advance to.');
         now = first.at;
         first.fn();
       }
     },
   };
 };
-const body = { version: 7, sum: 's', load: { read: 0, write: 0 } };
+const request = { version: 7, sum: 's', load: { read: 0, write: 0 } };
 const peers: readonly Ident['addr'][] = ['e1:1', 'e2:1', 'e3:1', 'e4:1'];
 
-describe('The line to the core', () => {
-  it('ends a look with the first word of a newer view, whoever else is silent', async () => {
-    const b = bench(['c2', 'e1', 'e2', 'e3', 'e4'], ['c1', 'c3'], peers);
-    expect(await b.until(b.line.look())).to.equal(2);
-    expect(b.line.view()?.epoch).to.equal(6);
+describe('ControlClient', () => {
+  it('ends a view query with the first reply that has a newer view, even if other daemons are silent', async () => {
+    const fixture = setUp(['c2', 'e1', 'e2', 'e3', 'e4'], ['c1', 'c3'], peers);
+    expect(await fixture.until(fixture.line.look())).to.equal(2);
+    expect(fixture.line.view()?.epoch).to.equal(6);
   });
-  it('ends a look that brought nothing newer before the silent are given up', async () => {
-    const b = bench(['c1', 'c2', 'c3', 'e1'], [], peers);
-    expect(await b.until(b.line.look())).to.equal(250);
-    expect(b.line.view()?.epoch).to.equal(5);
+  it('ends a view query without a newer view before the requests to silent daemons time out', async () => {
+    const fixture = setUp(['c1', 'c2', 'c3', 'e1'], [], peers);
+    expect(await fixture.until(fixture.line.look())).to.equal(250);
+    expect(fixture.line.view()?.epoch).to.equal(5);
   });
-  it('learns of a look that is over from those that were slow to reply', async () => {
-    const b = bench([], ['c1', 'c3'], [], 300);
-    expect(await b.until(b.line.look())).to.equal(250);
-    expect(b.line.view()?.epoch).to.equal(5);
-    await b.until(new Promise((done) => b.after(100, () => done(null))));
-    expect(b.line.view()?.epoch).to.equal(6);
+  it('learns a newer view from replies that arrive after the view query has ended', async () => {
+    const fixture = setUp([], ['c1', 'c3'], [], 300);
+    expect(await fixture.until(fixture.line.look())).to.equal(250);
+    expect(fixture.line.view()?.epoch).to.equal(5);
+    await fixture.until(new Promise((done) => fixture.after(100, () => done(null))));
+    expect(fixture.line.view()?.epoch).to.equal(6);
   });
-  it('waits for a first view as long as for any reply', async () => {
-    const b = bench([], ['c1'], ['c1:1'], 300, false);
-    expect(await b.until(b.line.look())).to.equal(300);
-    expect(b.line.view()?.epoch).to.equal(6);
+  it('waits the full request timeout for replies if no view is known', async () => {
+    const fixture = setUp([], ['c1'], ['c1:1'], 300, false);
+    expect(await fixture.until(fixture.line.look())).to.equal(300);
+    expect(fixture.line.view()?.epoch).to.equal(6);
   });
-  it('looks among the members of the view it knows, however many others there are', async () => {
+  it('queries members of the known view even among many other addresses', async () => {
     const crowd = Array.from({ length: 60 }, (_, i) => `e${i}:1`);
-    const b = bench(['c2'], ['c1', 'c3'], crowd);
-    await b.until(b.line.look());
-    expect(b.line.view()?.epoch).to.equal(6);
+    const fixture = setUp(['c2'], ['c1', 'c3'], crowd);
+    await fixture.until(fixture.line.look());
+    expect(fixture.line.view()?.epoch).to.equal(6);
   });
-  it('checks in with the next head at once where the head it knew is silent', async () => {
-    const b = bench(['c2', 'e1', 'e2', 'e3', 'e4'], ['c1', 'c3'], peers);
+  it('checks in with the new head without delay if the known head is silent', async () => {
+    const fixture = setUp(['c2', 'e1', 'e2', 'e3', 'e4'], ['c1', 'c3'], peers);
     let got: unknown = null;
-    const job = b.line.checkin(body).then((r) => {
+    const job = fixture.line.checkin(request).then((r) => {
       got = r;
     });
-    expect(await b.until(job)).to.equal(254);
+    expect(await fixture.until(job)).to.equal(254);
     expect(got).to.deep.equal(checked(true, next));
   });
-  it('checks in with the next head at once where the old one names it', async () => {
-    const b = bench([], ['c1', 'c2', 'c3']);
+  it('checks in with the new head without delay if the old head reports the newer view', async () => {
+    const fixture = setUp([], ['c1', 'c2', 'c3']);
     let got: unknown = null;
-    const job = b.line.checkin(body).then((r) => {
+    const job = fixture.line.checkin(request).then((r) => {
       got = r;
     });
-    expect(await b.until(job)).to.equal(4);
+    expect(await fixture.until(job)).to.equal(4);
     expect(got).to.deep.equal(checked(true, next));
   });
-  it('asks no silent head twice in one check-in while no newer view is known', async () => {
-    const b = bench(['c2'], [], peers);
+  it('sends one check-in request to a silent head while no newer view is known', async () => {
+    const fixture = setUp(['c2'], [], peers);
     let got: unknown = 'none';
-    const job = b.line.checkin(body).then((r) => {
+    const job = fixture.line.checkin(request).then((r) => {
       got = r;
     });
-    await b.until(job);
+    await fixture.until(job);
     expect(got).to.equal(null);
-    expect(b.asked.filter((a) => a.endsWith('core.checkin'))).to.have.length(1);
+    expect(fixture.asked.filter((a) => a.endsWith('core.checkin'))).to.have.length(1);
   });
 });
--- a/packages/registry/src/chain/statehandover.test.ts
+++ b/packages/registry/src/chain/statehandover.test.ts
@@ -14,8 +14,8 @@
   claims: { x: { id: 'k', born: 'b', fence: seq + 1 } },
 });
 
-/** A next member that replies to changes as told, in turn, and takes every whole state. */
-const member = (...replies: Reply[]) => {
+/** A successor that answers changes with the given replies in order and accepts every whole state. */
+const memberReplying = (...replies: Reply[]) => {
   const sent: string[] = [];
   const post = {
     ask(_addr: string, _to: string, kind: string, body: { change?: StateChange; state?: CoreState }) {
@@ -29,39 +29,39 @@
 const taken = { ok: true, lacking: false };
 const lacking = { ok: false, lacking: true };
 
-describe('A version is handed to the next of the chain', () => {
-  it('as a change against what that one said that it holds', async () => {
-    const { sent, handover } = member(taken, taken, taken);
+describe('State transfer to the next chain member', () => {
+  it('sends a change against the version that the member confirmed last', async () => {
+    const { sent, handover } = memberReplying(taken, taken, taken);
     for (const seq of [1, 2, 5]) expect(await handover.send(next, 1, version(seq))).to.equal(true);
     expect(sent).to.deep.equal(['core.change 1>1', 'core.change 1>2', 'core.change 2>5']);
   });
-  it('whole to one that lacks the version named, and as a change again after it', async () => {
-    const { sent, handover } = member(lacking, taken);
+  it('sends the whole state to a member that lacks the base version, and a change after that', async () => {
+    const { sent, handover } = memberReplying(lacking, taken);
     expect(await handover.send(next, 1, version(3))).to.equal(true);
     expect(await handover.send(next, 1, version(4))).to.equal(true);
     expect(sent).to.deep.equal(['core.change 3>3', 'core.push 3', 'core.change 3>4']);
   });
-  it('whole to one of the release before, which knows no changes', async () => {
-    const { sent, handover } = member('wrong');
+  it('sends the whole state to a member of the previous release, which does not support changes', async () => {
+    const { sent, handover } = memberReplying('wrong');
     expect(await handover.send(next, 1, version(3))).to.equal(true);
     expect(sent).to.deep.equal(['core.change 3>3', 'core.push 3']);
   });
-  it('and not a second time while it is unknown whether it was taken', async () => {
+  it('does not resend by itself when the outcome is unknown, and then assumes no confirmed version', async () => {
     for (const reply of ['lost', 'unsent'] as WireFault[]) {
-      const { sent, handover } = member(taken, reply, taken);
+      const { sent, handover } = memberReplying(taken, reply, taken);
       await handover.send(next, 1, version(1));
       expect(await handover.send(next, 1, version(2)), reply).to.equal(false);
       expect(await handover.send(next, 1, version(2)), reply).to.equal(true);
-      expect(sent.slice(1), 'what it holds is a guess again').to.deep.equal(['core.change 1>2', 'core.change 2>2']);
+      expect(sent.slice(1), 'the version held is assumed again').to.deep.equal(['core.change 1>2', 'core.change 2>2']);
     }
   });
-  it('and is not held where the member says so', async () => {
-    const { sent, handover } = member({ ok: false, lacking: false });
+  it('reports failure if the member refuses the version', async () => {
+    const { sent, handover } = memberReplying({ ok: false, lacking: false });
     expect(await handover.send(next, 1, version(1))).to.equal(false);
     expect(sent.length).to.equal(1);
   });
-  it('with nothing assumed of another life at the same address', async () => {
-    const { sent, handover } = member(taken, lacking);
+  it('assumes nothing about another incarnation at the same address', async () => {
+    const { sent, handover } = memberReplying(taken, lacking);
     await handover.send(next, 1, version(1));
     await handover.send({ ...next, born: 'later' }, 2, version(2));
     expect(sent).to.deep.equal(['core.change 1>1', 'core.change 2>2', 'core.push 2']);
--- a/packages/registry/src/consensus/nextviews.test.ts
+++ b/packages/registry/src/consensus/nextviews.test.ts
@@ -4,82 +4,102 @@
 import type { View } from './view.js';
 import { Views } from './views.js';
 
-const member = (id: string, born = 'b') => ({ id, born, addr: `${id}:1` });
-type M = ReturnType<typeof member>;
-const [a, b, c, d, e] = ['a', 'b', 'c', 'd', 'e'].map((id) => member(id)) as [M, M, M, M, M];
-const know = (fresh: readonly M[] = [], emptied: readonly M[] = []) => ({
+const member = (id: string, incarnation = 'b') => ({ id, born: incarnation, addr: `${id}:1` });
+type TestMember = ReturnType<typeof member>;
+const [a, b, c, d, e] = ['a', 'b', 'c', 'd', 'e'].map((id) => member(id)) as [
+  TestMember,
+  TestMember,
+  TestMember,
+  TestMember,
+  TestMember,
+];
+const knowledgeOf = (fresh: readonly TestMember[] = [], emptied: readonly TestMember[] = []) => ({
   fresh: (m: { id: string; born: string }) => fresh.some((x) => Views.same(x, m)),
   emptied: (m: { id: string; born: string }) => emptied.some((x) => Views.same(x, m)),
 });
-const three: View = { epoch: 4, voters: [a, b, c], chain: [a, b] };
-const ids = (list: readonly { id: string }[] | undefined): string => (list ?? []).map((m) => m.id).join('');
-const text = (v: View | null): string =>
-  v ? `${v.epoch} ${ids(v.chain)} joining:${ids(v.joining)} reserve:${ids(v.reserve)}` : 'none';
+const threeVoters: View = { epoch: 4, voters: [a, b, c], chain: [a, b] };
+const joinIds = (list: readonly { id: string }[] | undefined): string => (list ?? []).map((m) => m.id).join('');
+const describeView = (view: View | null): string =>
+  view
+    ? `${view.epoch} ${joinIds(view.chain)} joining:${joinIds(view.joining)} reserve:${joinIds(view.reserve)}`
+    : 'none';
 
-describe('The view that follows', () => {
+describe('The views proposed after a given one', () => {
   const cases: [string, View | null, string][] = [
-    ['a newcomer is not complete', NextViews.withTail(three, c, know()), '5 abc joining:c reserve:'],
     [
-      'one that goes with enough left is not kept',
-      NextViews.without({ ...three, chain: [a, b, c] }, [b], know()),
+      'a newcomer is joining, not complete',
+      NextViews.withTail(threeVoters, c, knowledgeOf()),
+      '5 abc joining:c reserve:',
+    ],
+    [
+      'a removed member is not kept in reserve if enough complete members remain',
+      NextViews.without({ ...threeVoters, chain: [a, b, c] }, [b], knowledgeOf()),
       '5 ac joining: reserve:',
     ],
     [
-      'one that goes with too few left is kept in reserve',
-      NextViews.without(three, [b], know()),
+      'a removed member is kept in reserve if too few complete members remain',
+      NextViews.without(threeVoters, [b], knowledgeOf()),
       '5 a joining: reserve:b',
     ],
-    ['but not if its disk is lost', NextViews.without(three, [b], know([], [b])), '5 a joining: reserve:'],
     [
-      'one that is only joining does not count',
-      NextViews.without({ ...three, chain: [a, b, c], joining: [c] }, [b], know()),
+      'a removed member whose disk is lost is not kept in reserve',
+      NextViews.without(threeVoters, [b], knowledgeOf([], [b])),
+      '5 a joining: reserve:',
+    ],
+    [
+      'a joining member does not count as complete',
+      NextViews.without({ ...threeVoters, chain: [a, b, c], joining: [c] }, [b], knowledgeOf()),
       '5 ac joining:c reserve:b',
     ],
     [
-      'one that has caught up counts',
-      NextViews.without({ ...three, chain: [a, b, c], joining: [c] }, [b], know([c])),
+      'a member that has caught up counts as complete',
+      NextViews.without({ ...threeVoters, chain: [a, b, c], joining: [c] }, [b], knowledgeOf([c])),
       '5 ac joining: reserve:',
     ],
     [
-      'one that is joining never leads',
-      NextViews.without({ ...three, chain: [a, c], joining: [c] }, [a], know()),
+      'a joining member never becomes the head',
+      NextViews.without({ ...threeVoters, chain: [a, c], joining: [c] }, [a], knowledgeOf()),
       'none',
     ],
     [
-      'the reserve goes once enough are complete',
-      NextViews.without({ ...three, chain: [a, c], joining: [c], reserve: [b] }, [], know([c])),
+      'the reserve is dropped once enough members are complete',
+      NextViews.without({ ...threeVoters, chain: [a, c], joining: [c], reserve: [b] }, [], knowledgeOf([c])),
       '5 ac joining: reserve:',
     ],
     [
-      'one of the reserve leads, and the complete one that is away takes its place',
-      NextViews.promoting({ ...three, chain: [a, c], joining: [c], reserve: [b] }, b, [a], know()),
+      'a reserve member becomes the head, and the unavailable complete member goes to the reserve',
+      NextViews.promoting({ ...threeVoters, chain: [a, c], joining: [c], reserve: [b] }, b, [a], knowledgeOf()),
       '5 bc joining:c reserve:a',
     ],
     [
-      'not while a complete member is there',
-      NextViews.promoting({ ...three, chain: [a, c], joining: [c], reserve: [b] }, b, [], know()),
+      'a reserve member does not become the head while a complete member is available',
+      NextViews.promoting({ ...threeVoters, chain: [a, c], joining: [c], reserve: [b] }, b, [], knowledgeOf()),
+      'none',
+    ],
+    [
+      'a member outside the reserve is not promoted to head',
+      NextViews.promoting({ ...threeVoters, chain: [a] }, b, [a], knowledgeOf()),
       'none',
     ],
-    ['nor one that is not of the reserve', NextViews.promoting({ ...three, chain: [a] }, b, [a], know()), 'none'],
     [
-      'an emptied member that comes back is joining, and its old life is not kept',
-      NextViews.withTail(three, member('b', 'new'), know([], [b])),
+      'a member that returns with a lost disk is joining, and its old incarnation is not kept',
+      NextViews.withTail(threeVoters, member('b', 'new'), knowledgeOf([], [b])),
       '5 ab joining:b reserve:',
     ],
     [
-      'one that moved is kept for what it held',
-      NextViews.withTail(three, { ...b, addr: 'x:2' }, know()),
+      'a member that rejoins at another address is kept in reserve for the state it holds',
+      NextViews.withTail(threeVoters, { ...b, addr: 'x:2' }, knowledgeOf()),
       '5 ab joining:b reserve:b',
     ],
     [
-      'a vote goes to one that has caught up',
-      NextViews.withVoter({ ...three, chain: [a, b, d], joining: [d] }, d, c, know([d])),
+      'a member that has caught up takes over a vote',
+      NextViews.withVoter({ ...threeVoters, chain: [a, b, d], joining: [d] }, d, c, knowledgeOf([d])),
       '5 abd joining: reserve:',
     ],
   ];
-  for (const [name, got, want] of cases) it(name, () => expect(text(got)).to.equal(want));
+  for (const [name, actual, expected] of cases) it(name, () => expect(describeView(actual)).to.equal(expected));
 
-  it('always has a complete head, and keeps all holders while too few are complete', () => {
+  it('always have a complete head, and keep every holder of committed state while too few members are complete', () => {
     const all = [a, b, c, d, e];
     const some = fc.subarray(all);
     const step = fc.record({
@@ -90,28 +110,28 @@
     });
     fc.assert(
       fc.property(fc.array(step, { maxLength: 12 }), (steps) => {
-        let v: View = { epoch: 1, voters: all, chain: all };
-        for (const s of steps) {
-          const known = know(s.fresh);
+        let view: View = { epoch: 1, voters: all, chain: all };
+        for (const action of steps) {
+          const knowledge = knowledgeOf(action.fresh);
           const next =
-            s.kind === 'without'
-              ? NextViews.without(v, s.list, known)
-              : s.kind === 'withTail'
-                ? NextViews.withTail(v, s.who, known)
-                : s.kind === 'withVoter'
-                  ? NextViews.withVoter(v, s.who, s.who, known)
-                  : NextViews.promoting(v, s.who, s.list, known);
+            action.kind === 'without'
+              ? NextViews.without(view, action.list, knowledge)
+              : action.kind === 'withTail'
+                ? NextViews.withTail(view, action.who, knowledge)
+                : action.kind === 'withVoter'
+                  ? NextViews.withVoter(view, action.who, action.who, knowledge)
+                  : NextViews.promoting(view, action.who, action.list, knowledge);
           if (!next) continue;
           expect(Views.complete(next).map((m) => m.id)).to.include(Views.head(next).id);
-          const holders = [...Views.complete(v), ...(v.reserve ?? [])];
+          const holders = [...Views.complete(view), ...(view.reserve ?? [])];
           const replicas = [...Views.complete(next), ...(next.reserve ?? [])];
           if (Views.complete(next).length < Views.most(next))
-            for (const h of holders)
+            for (const holder of holders)
               expect(
-                replicas.some((m) => Views.same(m, h)),
-                h.id,
+                replicas.some((m) => Views.same(m, holder)),
+                holder.id,
               ).to.equal(true);
-          v = next;
+          view = next;
         }
       }),
       { numRuns: 500 },
--- a/packages/registry/src/consensus/viewfile.test.ts
+++ b/packages/registry/src/consensus/viewfile.test.ts
@@ -8,23 +8,23 @@
 const make = (loaded: View | null) => {
   const disk = { full: false, epochs: [] as number[] };
   const store = {
-    put: (_kind: string, v: View) => {
-      if (!disk.full) disk.epochs.push(v.epoch);
+    put: (_kind: string, newView: View) => {
+      if (!disk.full) disk.epochs.push(newView.epoch);
       return Promise.resolve(disk.full ? Err('full') : Ok(undefined));
     },
   } as unknown as Store;
   return { disk, file: ViewFile.make(store, loaded) };
 };
 
-describe('the file of the view', () => {
-  it('is settled where there is nothing to write', async () => {
+describe('ViewFile', () => {
+  it('reports the view as saved if there is nothing to write', async () => {
     for (const loaded of [null, view(4)]) {
       const { disk, file } = make(loaded);
       expect(await file.ensureSaved()).to.equal(true);
       expect(disk.epochs).to.deep.equal([]);
     }
   });
-  it('is not settled while a view can not be written, and is written again when asked', async () => {
+  it('reports an unsaved view while the disk fails, and repeats the write on request', async () => {
     const { disk, file } = make(view(4));
     disk.full = true;
     expect(await file.save(view(5))).to.equal('full');
@@ -33,7 +33,7 @@
     expect(await file.ensureSaved()).to.equal(true);
     expect(disk.epochs).to.deep.equal([5]);
   });
-  it('waits for writes under way, and ends with the newest', async () => {
+  it('waits for pending writes and ends with the newest view on disk', async () => {
     const { disk, file } = make(null);
     const writes = [file.save(view(1)), file.save(view(2))];
     expect(await file.ensureSaved()).to.equal(true);
--- a/packages/registry/src/consensus/voter.test.ts
+++ b/packages/registry/src/consensus/voter.test.ts
@@ -4,17 +4,17 @@
 import type { View } from './view.js';
 import { Voter } from './voter.js';
 
-const view = (epoch: number, n = 3): View => {
-  const m = Array.from({ length: 3 }, (_, i) => ({ id: `c${i}`, born: 'b', addr: `10.0.0.${i}:1` }));
-  return { epoch, voters: m, chain: m.slice(0, n) };
+const view = (epoch: number, chainLength = 3): View => {
+  const members = Array.from({ length: 3 }, (_, i) => ({ id: `c${i}`, born: 'b', addr: `10.0.0.${i}:1` }));
+  return { epoch, voters: members, chain: members.slice(0, chainLength) };
 };
 let now = 0,
-  sick = false;
+  diskFails = false;
 const saved: unknown[] = [];
 const store = {
-  put: (_k: string, v: unknown) => {
-    if (!sick) saved.push(v);
-    return Promise.resolve(sick ? Err('full') : Ok(undefined));
+  put: (_kind: string, value: unknown) => {
+    if (!diskFails) saved.push(value);
+    return Promise.resolve(diskFails ? Err('full') : Ok(undefined));
   },
 } as unknown as Store;
 type Step =
@@ -26,7 +26,7 @@
   | ['sick', boolean];
 const cases: [string, Step[]][] = [
   [
-    'promises rise',
+    'promises only rising ballots',
     [
       ['prepare', 2, 8, true],
       ['prepare', 2, 8, false],
@@ -35,7 +35,7 @@
     ],
   ],
   [
-    'an older ballot is not accepted',
+    'does not accept a ballot lower than the promised one',
     [
       ['prepare', 2, 16, true],
       ['accept', 2, 8, false],
@@ -43,7 +43,7 @@
     ],
   ],
   [
-    'a live lease holds the next view off',
+    'does not promise the next view while a lease is live',
     [
       ['grant', 1, true],
       ['prepare', 2, 8, false],
@@ -52,7 +52,7 @@
     ],
   ],
   [
-    'no lease once the next view is promised',
+    'grants no lease once the next view is promised',
     [
       ['prepare', 2, 8, true],
       ['wait', 5000],
@@ -60,7 +60,7 @@
     ],
   ],
   [
-    'an attempt that waits holds leases off, for a while',
+    'grants no lease for a limited time after a refused prepare',
     [
       ['grant', 1, true],
       ['prepare', 2, 8, false],
@@ -70,7 +70,7 @@
     ],
   ],
   [
-    'an epoch that is past is past',
+    'refuses prepare and accept for an epoch lower than one promised',
     [
       ['prepare', 3, 8, true],
       ['prepare', 2, 16, false],
@@ -78,7 +78,7 @@
     ],
   ],
   [
-    'no lease on a view once bound to any later one',
+    'grants no lease on a view once a later epoch is promised',
     [
       ['prepare', 3, 8, true],
       ['wait', 5000],
@@ -88,7 +88,7 @@
     ],
   ],
   [
-    'a late try for a view already in force holds nothing off',
+    'still grants leases after a late prepare for the view in force',
     [
       ['prepare', 2, 8, true],
       ['accept', 2, 8, true],
@@ -98,7 +98,7 @@
     ],
   ],
   [
-    'what is not on disk is not said',
+    'agrees to nothing that could not be written to disk',
     [
       ['sick', true],
       ['prepare', 2, 8, false],
@@ -114,55 +114,55 @@
   for (const [name, steps] of cases) {
     it(name, async () => {
       now = 0;
-      sick = false;
-      const v = Voter.make(store, () => now, null);
-      for (const s of steps) {
-        if (s[0] === 'wait') now += s[1];
-        else if (s[0] === 'moved') v.onViewChange(s[1]);
-        else if (s[0] === 'sick') sick = s[1];
-        else if (s[0] === 'grant') expect(v.grantLease(s[1], 800)).to.equal(s[2]);
-        else if (s[0] === 'prepare') expect((await v.prepare(s[1], s[2])).ok).to.equal(s[3]);
-        else expect((await v.accept(s[1], s[2], view(s[1]))).ok).to.equal(s[3]);
+      diskFails = false;
+      const voter = Voter.make(store, () => now, null);
+      for (const step of steps) {
+        if (step[0] === 'wait') now += step[1];
+        else if (step[0] === 'moved') voter.onViewChange(step[1]);
+        else if (step[0] === 'sick') diskFails = step[1];
+        else if (step[0] === 'grant') expect(voter.grantLease(step[1], 800)).to.equal(step[2]);
+        else if (step[0] === 'prepare') expect((await voter.prepare(step[1], step[2])).ok).to.equal(step[3]);
+        else expect((await voter.accept(step[1], step[2], view(step[1]))).ok).to.equal(step[3]);
       }
     });
   }
-  it('tells what it took to a later ballot, also after a restart', async () => {
+  it('reports the accepted view to a later ballot, also after a restart', async () => {
     now = 0;
-    sick = false;
+    diskFails = false;
     saved.length = 0;
-    const v = Voter.make(store, () => now, null);
-    await v.prepare(2, 8);
-    await v.accept(2, 8, view(2, 2));
-    const again = Voter.make(store, () => now, saved.at(-1) as never);
-    expect((await again.prepare(2, 16)).took?.view).to.deep.equal(view(2, 2));
+    const voter = Voter.make(store, () => now, null);
+    await voter.prepare(2, 8);
+    await voter.accept(2, 8, view(2, 2));
+    const restarted = Voter.make(store, () => now, saved.at(-1) as never);
+    expect((await restarted.prepare(2, 16)).took?.view).to.deep.equal(view(2, 2));
   });
-  it('holds the next view off, after a restart, for as long as what it granted before may last', async () => {
+  it('promises no view after a restart while leases from its earlier run may be live', async () => {
     now = 0;
-    sick = false;
+    diskFails = false;
     const again = Voter.make(store, () => now, null, 800);
     expect((await again.prepare(2, 8)).wait).to.equal(800);
     expect((await again.accept(2, 8, view(2))).ok).to.equal(false);
     now = 801;
     expect((await again.prepare(2, 8)).ok).to.equal(true);
   });
-  it('binds itself to no next view before the present one is on disk', async () => {
+  it('promises and accepts no next view before the present one is on disk', async () => {
     now = 0;
-    sick = false;
+    diskFails = false;
     let settled = false;
-    const v = Voter.make(
+    const voter = Voter.make(
       store,
       () => now,
       null,
       0,
       () => Promise.resolve(settled),
     );
-    v.onViewChange(2);
-    expect((await v.prepare(3, 8)).ok).to.equal(false);
-    expect((await v.accept(3, 8, view(3))).ok).to.equal(false);
-    expect(v.grantLease(2, 800)).to.equal(true);
+    voter.onViewChange(2);
+    expect((await voter.prepare(3, 8)).ok).to.equal(false);
+    expect((await voter.accept(3, 8, view(3))).ok).to.equal(false);
+    expect(voter.grantLease(2, 800)).to.equal(true);
     now = 801;
     settled = true;
-    expect((await v.prepare(3, 8)).ok).to.equal(true);
-    expect((await v.accept(3, 8, view(3))).ok).to.equal(true);
+    expect((await voter.prepare(3, 8)).ok).to.equal(true);
+    expect((await voter.accept(3, 8, view(3))).ok).to.equal(true);
   });
 });
--- a/packages/registry/src/corelife.test.ts
+++ b/packages/registry/src/corelife.test.ts
@@ -13,12 +13,12 @@
   [['placed', 'ill', 'found'], 'sick'],
   [['ill', 'well'], 'newcomer'],
 ];
-describe('CoreLife', () => {
-  for (const [events, end] of cases) {
-    it(`${events.join(', ') || 'nothing'} leads to ${end}`, () => {
-      const s = interpret(CoreLifecycle, () => undefined);
-      for (const e of events) s.send(e as never);
-      expect(s.machine.current).to.equal(end);
+describe('CoreLifecycle', () => {
+  for (const [events, expected] of cases) {
+    it(`${events.join(', ') || 'nothing'} leads to ${expected}`, () => {
+      const service = interpret(CoreLifecycle, () => undefined);
+      for (const event of events) service.send(event as never);
+      expect(service.machine.current).to.equal(expected);
     });
   }
 });
--- a/packages/registry/src/service/warnings.test.ts
+++ b/packages/registry/src/service/warnings.test.ts
@@ -8,7 +8,7 @@
 const rule = (name: string, limit: number) => ({
   ...{ name, limit, weight: 1, urgency: 1, waitlist: 1, deadline: 1000, pieces: 1, bytes: 1000 },
 });
-const was: Charter = {
+const current: Charter = {
   sites: ['s'],
   rules: [rule('review', 10), rule('verdict', 10)],
   servers: ['m1', 'm2', 'm3'].map((id) => server(id)),
@@ -20,61 +20,70 @@
   { server: 'm3', part: 'decode', stage: 'dark' },
 ];
 
-describe('Warnings', () => {
+describe('ConfigurationWarnings', () => {
   const cases: [string, Partial<Charter>, string[]][] = [
-    ['nothing of a charter that is the same', {}, []],
-    ['nothing of a server that is added', { servers: [...was.servers, server('m4')] }, []],
-    ['nothing of a dark server that goes', { servers: [server('m1'), server('m2')] }, []],
+    ['nothing about an unchanged configuration', {}, []],
+    ['nothing about an added server', { servers: [...current.servers, server('m4')] }, []],
+    ['nothing about the removal of a server out of service', { servers: [server('m1'), server('m2')] }, []],
     [
-      'capacity that goes',
-      { servers: was.servers.map((s) => ({ ...s, slots: 1 })) },
+      'reduced capacity',
+      { servers: current.servers.map((s) => ({ ...s, slots: 1 })) },
       ["it takes away 88% of the fleet's slots (24 to 3)"],
     ],
     [
-      'a server in use that goes',
+      'the removal of a server in use',
       { servers: [server('m1'), server('m3')] },
       ['server m2 is in use, and no request will go to it any more'],
     ],
     [
-      'a server in use that is renamed',
+      'the renaming of a server in use',
       { servers: [server('m1'), server('m9'), server('m3')] },
       [
         'server m2 is in use, and no request will go to it any more',
         'm2 seems to be renamed to m9: the platform must list it under that name',
       ],
     ],
-    ['a rule that goes', { rules: [rule('review', 10)] }, ['requests of the rule verdict will be bounced: it goes']],
     [
-      'a rule that shrinks',
+      'the removal of a rule',
+      { rules: [rule('review', 10)] },
+      ['requests of the rule verdict will be bounced: it goes'],
+    ],
+    [
+      'a large reduction of a rule limit',
       { rules: [rule('review', 1), rule('verdict', 10)] },
       ['the rule review lets in 90% fewer requests at once'],
     ],
     [
-      'a server that must swap',
+      'a server that changes stage',
       { servers: [server('m1', 'decode'), server('m2', 'decode'), server('m3')] },
       ['server m1 is to prefill now, and will be emptied to decode'],
     ],
   ];
-  for (const [name, change, want] of cases) {
-    it(`tells ${name}`, () => {
-      expect(Warnings.of(was, { ...was, ...change }, rows)).to.deep.equal(want);
+  for (const [name, change, expected] of cases) {
+    it(`reports ${name}`, () => {
+      expect(Warnings.of(current, { ...current, ...change }, rows)).to.deep.equal(expected);
     });
   }
-  const loans = (most: number, keep: number): Partial<Charter> => ({
+  const lendingTerms = (most: number, keep: number): Partial<Charter> => ({
     lending: { rules: ['review'], most: { prefill: 0, decode: most }, keep: { prefill: 0, decode: keep }, length: 900 },
   });
   const lending: [string, Partial<Charter>, Partial<Charter>, string[]][] = [
-    ['lending that begins', {}, loans(0.5, 4), ['up to 50% of the slots that decode may be lent to bursts']],
-    ['lending that stays', loans(0.5, 4), loans(0.5, 4), []],
-    ['less kept', loans(0.5, 4), loans(0.4, 1), ['only 1 slots that decode are kept for live work (4 before)']],
-    ['lending that ends', loans(0.5, 4), {}, ['bursts of the rule review borrow no more, and come to rest']],
+    ['newly lent capacity', {}, lendingTerms(0.5, 4), ['up to 50% of the slots that decode may be lent to bursts']],
+    ['no unchanged lending', lendingTerms(0.5, 4), lendingTerms(0.5, 4), []],
+    [
+      'less reserved capacity',
+      lendingTerms(0.5, 4),
+      lendingTerms(0.4, 1),
+      ['only 1 slots that decode are kept for live work (4 before)'],
+    ],
+    ['the end of lending', lendingTerms(0.5, 4), {}, ['bursts of the rule review borrow no more, and come to rest']],
   ];
   for (const [name, before, after, want] of lending) {
-    it(`tells ${name}`, () => {
-      expect(Warnings.of({ ...was, ...before }, { ...was, ...after }, rows)).to.deep.equal(want);
+    it(`reports ${name}`, () => {
+      expect(Warnings.of({ ...current, ...before }, { ...current, ...after }, rows)).to.deep.equal(want);
     });
   }
-  it('tells nothing of a first charter', () => {
-    expect(Warnings.of(null, was, [])).to.deep.equal([]);
+  it('reports nothing about a first configuration', () => {
+    expect(Warnings.of(null, current, [])).to.deep.equal([]);
   });
 });
--- a/packages/registry/src/service/warnings.ts
+++ b/packages/registry/src/service/warnings.ts
@@ -8,10 +8,10 @@
 
 const capacityWarnings = (before: Charter, after: Charter): string[] => {
   const warnings: string[] = [];
-  const [slotsBefore, slotsAfter] = [totalSlots(before), totalSlots(after)];
-  if (slotsAfter < slotsBefore * LARGE_REDUCTION_FRACTION)
+  const [oldSlots, newSlots] = [totalSlots(before), totalSlots(after)];
+  if (newSlots < oldSlots * LARGE_REDUCTION_FRACTION)
     warnings.push(
-      `it takes away ${reductionPercent(slotsBefore, slotsAfter)} of the fleet's slots (${slotsBefore} to ${slotsAfter})`,
+      `it takes away ${reductionPercent(oldSlots, newSlots)} of the fleet's slots (${oldSlots} to ${newSlots})`,
     );
   for (const rule of before.rules) {
     const next = after.rules.find((x) => x.name === rule.name);
@@ -44,20 +44,19 @@
 /** Warns if capacity is newly lent or no longer reserved, and names the rules whose bursts stop. */
 const lendingWarnings = (before: Charter, after: Charter): string[] => {
   const warnings: string[] = [],
-    [lendingBefore, lendingAfter] = [before.lending, after.lending];
+    [oldTerms, newTerms] = [before.lending, after.lending];
   for (const stage of ['prefill', 'decode'] as const) {
-    if (lendingAfter && lendingAfter.most[stage] > (lendingBefore?.most[stage] ?? 0))
+    if (newTerms && newTerms.most[stage] > (oldTerms?.most[stage] ?? 0))
       warnings.push(
-        `up to ${Math.round(lendingAfter.most[stage] * 100)}% of the slots that ${stage} may be lent to bursts`,
+        `up to ${Math.round(newTerms.most[stage] * 100)}% of the slots that ${stage} may be lent to bursts`,
       );
-    if (lendingBefore && lendingAfter && lendingAfter.keep[stage] < lendingBefore.keep[stage])
+    if (oldTerms && newTerms && newTerms.keep[stage] < oldTerms.keep[stage])
       warnings.push(
-        `only ${lendingAfter.keep[stage]} slots that ${stage} are kept for live work (${lendingBefore.keep[stage]} before)`,
+        `only ${newTerms.keep[stage]} slots that ${stage} are kept for live work (${oldTerms.keep[stage]} before)`,
       );
   }
-  for (const rule of lendingBefore?.rules ?? [])
-    if (!lendingAfter?.rules.includes(rule))
-      warnings.push(`bursts of the rule ${rule} borrow no more, and come to rest`);
+  for (const rule of oldTerms?.rules ?? [])
+    if (!newTerms?.rules.includes(rule)) warnings.push(`bursts of the rule ${rule} borrow no more, and come to rest`);
   return warnings;
 };
 
--- a/packages/registry/src/state/replace.test.ts
+++ b/packages/registry/src/state/replace.test.ts
@@ -10,91 +10,134 @@
   limits: { header: 1, body: 1, headerWait: 1, idle: 1 },
   source: { revision },
 });
-const put = (id: string, base: number, revision: number): Command => ({
+const replacement = (id: string, base: number, revision: number): Command => ({
   ...{ do: 'replace' as const, id, base, intent: routing(revision) },
 });
-const plan = (id: string, base: number, charter: Charter | Routing): Command => ({ do: 'plan', id, base, charter });
+const plan = (id: string, base: number, configuration: Charter | Routing): Command => ({
+  do: 'plan',
+  id,
+  base,
+  charter: configuration,
+});
 const confirm = (id: string): Command => ({ do: 'confirm', id });
-const charter = {} as Charter;
-/** What each command of a list is told: its code, with the version if there is one. */
-const told = (list: readonly Command[], from = Apply.empty) => {
-  let state = from;
-  const out = list.map((c) => {
-    const done = Apply.one(state, c);
-    state = done.state;
-    const { verdict, version } = done.ruling;
+const fleetConfiguration = {} as Charter;
+/** Applies the commands in order; returns for each its verdict, with the version if there is one. */
+const applyAll = (commands: readonly Command[], initial = Apply.empty) => {
+  let state = initial;
+  const results = commands.map((c) => {
+    const outcome = Apply.one(state, c);
+    state = outcome.state;
+    const { verdict, version } = outcome.ruling;
     return [verdict.ran, verdict.code, ...(version === undefined ? [] : [version])].join(' ');
   });
-  return { state, out };
+  return { state, out: results };
 };
 const cases: [string, Command[], string[], number][] = [
-  ['a first replacement', [put('a', 0, 1)], ['yes confirmed 1'], 1],
-  ['one after the other', [put('a', 0, 1), put('b', 1, 2)], ['yes confirmed 1', 'yes confirmed 2'], 2],
-  ['a first revision above 1', [put('a', 0, 7), put('b', 7, 9)], ['yes confirmed 1', 'yes confirmed 2'], 9],
-  ['two over one base', [put('a', 0, 1), put('b', 0, 2)], ['yes confirmed 1', 'no lost'], 1],
+  ['a first replacement', [replacement('a', 0, 1)], ['yes confirmed 1'], 1],
+  [
+    'consecutive replacements',
+    [replacement('a', 0, 1), replacement('b', 1, 2)],
+    ['yes confirmed 1', 'yes confirmed 2'],
+    2,
+  ],
+  [
+    'a first revision above 1',
+    [replacement('a', 0, 7), replacement('b', 7, 9)],
+    ['yes confirmed 1', 'yes confirmed 2'],
+    9,
+  ],
+  [
+    'two replacements of one revision',
+    [replacement('a', 0, 1), replacement('b', 0, 2)],
+    ['yes confirmed 1', 'no lost'],
+    1,
+  ],
   [
-    'a repeat, at once and late',
-    [put('a', 0, 1), put('a', 0, 1), put('b', 1, 2), put('a', 0, 1)],
+    'a repeated replacement, at once and later',
+    [replacement('a', 0, 1), replacement('a', 0, 1), replacement('b', 1, 2), replacement('a', 0, 1)],
     ['yes confirmed 1', 'yes confirmed 1', 'yes confirmed 2', 'yes confirmed 1'],
     2,
   ],
   [
-    'a repeat of one that lost',
-    [put('a', 0, 1), put('b', 0, 2), put('b', 0, 2)].concat(put('c', 1, 2)),
+    'a repeat of a replacement that lost',
+    [replacement('a', 0, 1), replacement('b', 0, 2), replacement('b', 0, 2)].concat(replacement('c', 1, 2)),
     [...['yes confirmed 1', 'no lost', 'no lost', 'yes confirmed 2']],
     2,
   ],
-  ['a base not in force yet', [put('a', 3, 4)], ['no lost'], 0],
+  ['a base revision that is not in force yet', [replacement('a', 3, 4)], ['no lost'], 0],
   [
-    'a revision not above',
-    [put('a', 0, 3), put('b', 3, 3), put('c', 3, 2)],
+    'a revision that does not rise',
+    [replacement('a', 0, 3), replacement('b', 3, 3), replacement('c', 3, 2)],
     [...['yes confirmed 1', 'no bad', 'no bad']],
     3,
   ],
-  ['an old base with an old revision', [put('a', 0, 3), put('b', 0, 2)], ['yes confirmed 1', 'no lost'], 3],
   [
-    'a replacement over a charter',
-    [plan('p', 0, charter), confirm('p'), put('a', 0, 1)],
+    'an old base with an old revision',
+    [replacement('a', 0, 3), replacement('b', 0, 2)],
+    ['yes confirmed 1', 'no lost'],
+    3,
+  ],
+  [
+    'a routing that replaces a fleet configuration',
+    [plan('p', 0, fleetConfiguration), confirm('p'), replacement('a', 0, 1)],
     ['yes planned', 'yes confirmed 1', 'yes confirmed 2'],
     1,
   ],
   [
-    'a charter, or older routes, planned over routes',
-    [put('a', 0, 5), plan('p', 1, charter), plan('q', 1, routing(5)), plan('r', 1, routing(6)), confirm('r')],
+    'a planned fleet configuration or older routing after a routing',
+    [
+      replacement('a', 0, 5),
+      plan('p', 1, fleetConfiguration),
+      plan('q', 1, routing(5)),
+      plan('r', 1, routing(6)),
+      confirm('r'),
+    ],
     ['yes confirmed 1', 'no bad', 'no bad', 'yes planned', 'yes confirmed 2'],
     6,
   ],
   [
-    'a plan that a replacement overtook',
-    [plan('p', 0, charter), put('a', 0, 1), confirm('p')],
+    'a plan overtaken by a replacement',
+    [plan('p', 0, fleetConfiguration), replacement('a', 0, 1), confirm('p')],
     ['yes planned', 'yes confirmed 1', 'no lost'],
     1,
   ],
-  ['the name of an open plan', [plan('p', 0, charter), put('p', 0, 1)], ['yes planned', 'no taken'], 0],
+  [
+    'the id of an open plan',
+    [plan('p', 0, fleetConfiguration), replacement('p', 0, 1)],
+    ['yes planned', 'no taken'],
+    0,
+  ],
 ];
 
-describe('Apply, of replacements', () => {
-  for (const [name, list, want, revision] of cases) {
-    it(`rules on ${name}`, () => {
-      const { state, out } = told(list);
-      expect(out).to.deep.equal(want);
+describe('Replacements in CoreStateMachine', () => {
+  for (const [name, list, expected, revision] of cases) {
+    it(`handles ${name}`, () => {
+      const { state, out } = applyAll(list);
+      expect(out).to.deep.equal(expected);
       expect((state.charter?.body as Routing | undefined)?.revision ?? 0).to.equal(revision);
     });
   }
-  it('names the path of a revision that is not above', () => {
-    const { state } = told([put('a', 0, 3)]);
-    const { verdict } = Apply.one(state, put('b', 3, 3)).ruling;
+  it('names the path of a revision that does not rise', () => {
+    const { state } = applyAll([replacement('a', 0, 3)]);
+    const { verdict } = Apply.one(state, replacement('b', 3, 3)).ruling;
     expect(verdict.faults?.map((f) => f.path)).to.deep.equal(['/revision']);
   });
-  it('keeps nothing of what did not win, and of what won only that it did', () => {
-    const { state } = told([put('a', 0, 1)]);
-    for (const c of [put('a', 0, 1), put('b', 0, 2), put('c', 1, 1)]) expect(Apply.one(state, c).state).to.equal(state);
+  it('stores nothing for a replacement that did not win, and no body for one that won', () => {
+    const { state } = applyAll([replacement('a', 0, 1)]);
+    for (const c of [replacement('a', 0, 1), replacement('b', 0, 2), replacement('c', 1, 1)])
+      expect(Apply.one(state, c).state).to.equal(state);
     expect(state.plans).to.deep.equal([{ id: 'a', base: 0, fate: 'won', version: 1, over: 0 }]);
   });
-  it('says of one that may have won and is forgotten that it may have', () => {
-    const { state } = told(Array.from({ length: 300 }, (_, i) => put(`p${i}`, i, i + 1)));
-    const late = [put('p0', 0, 1), put('x', 0, 1), put('p250', 250, 251), put('x', 250, 251), put('x', 400, 401)];
-    expect(told(late, state).out).to.deep.equal([
+  it('answers maybe for a dropped replacement that may have won', () => {
+    const { state } = applyAll(Array.from({ length: 300 }, (_, i) => replacement(`p${i}`, i, i + 1)));
+    const late = [
+      replacement('p0', 0, 1),
+      replacement('x', 0, 1),
+      replacement('p250', 250, 251),
+      replacement('x', 250, 251),
+      replacement('x', 400, 401),
+    ];
+    expect(applyAll(late, state).out).to.deep.equal([
       ...['maybe forgotten', 'maybe forgotten', 'yes confirmed 251', 'no lost', 'no lost'],
     ]);
   });
--- a/packages/registry/src/state/statechanges.test.ts
+++ b/packages/registry/src/state/statechanges.test.ts
@@ -23,20 +23,20 @@
   const next = Apply.one(state, command).state;
   return next === state ? state : { ...next, seq: state.seq + 1 };
 };
-const put = (state: CoreState, revision: number, count: number): CoreState => {
+const replaceRouting = (state: CoreState, revision: number, count: number): CoreState => {
   const base = state.charter && 'revision' in state.charter.body ? state.charter.body.revision : 0;
   return apply(state, { do: 'replace', id: `id-${revision}`, base, intent: routing(revision, count) });
 };
-/** A state after so many replacements, and each version on the way. */
+/** The initial state and each version after one of `changes` replacements. */
 const history = (changes: number, routes: number): CoreState[] => {
   const all = [Apply.empty];
-  for (let i = 1; i <= changes; i++) all.push(put(all.at(-1)!, i, routes));
+  for (let i = 1; i <= changes; i++) all.push(replaceRouting(all.at(-1)!, i, routes));
   return all;
 };
-const overWire = <T>(v: T): T => JSON.parse(JSON.stringify(v)) as T;
-const size = (v: unknown): number => JSON.stringify(v).length;
+const throughJson = <T>(v: T): T => JSON.parse(JSON.stringify(v)) as T;
+const jsonLength = (v: unknown): number => JSON.stringify(v).length;
 
-const step: fc.Arbitrary<Command> = fc.oneof(
+const commandArbitrary: fc.Arbitrary<Command> = fc.oneof(
   fc.record({
     do: fc.constant('plan' as const),
     id: fc.constantFrom('a', 'b', 'c', 'd'),
@@ -53,65 +53,65 @@
   fc.nat(40).map((n): Command => ({ do: 'replace', id: `r${n}`, base: n >> 1, intent: routing((n >> 1) + 1, n) })),
 );
 
-describe('What changed between two versions of the state', () => {
-  it('makes the later of the earlier, word for word, whatever was done and however many versions lie between', () => {
+describe('StateChanges', () => {
+  it('turns any earlier version into any later one exactly', () => {
     fc.assert(
-      fc.property(fc.array(step, { maxLength: 30 }), fc.nat(), fc.nat(), (steps, a, b) => {
+      fc.property(fc.array(commandArbitrary, { maxLength: 30 }), fc.nat(), fc.nat(), (steps, a, b) => {
         const all = steps.reduce((list, c) => [...list, apply(list.at(-1)!, c)], [Apply.empty]);
         const [x, y] = [a % all.length, b % all.length];
         const from = all[Math.min(x, y)]!;
         const to = all[Math.max(x, y)]!;
         const changes = StateChanges.make();
-        expect(changes.apply(overWire(from), overWire(changes.between(from, to)))).to.deep.equal(to);
-        // A stray version that is taken back may have to be sent whole.
-        expect(changes.apply(overWire(to), overWire(changes.between(to, from)))).to.satisfy(
+        expect(changes.apply(throughJson(from), throughJson(changes.between(from, to)))).to.deep.equal(to);
+        // Going back from an uncommitted version may need the whole state.
+        expect(changes.apply(throughJson(to), throughJson(changes.between(to, from)))).to.satisfy(
           (v: unknown) => v === null || StateDigest.of(v as CoreState) === StateDigest.of(from),
         );
       }),
       { numRuns: 300 },
     );
   });
-  it('is against one version: another of the same number gives nothing', () => {
+  it('applies only to its base version, not to another with the same sequence number', () => {
     const [, one] = history(1, 2) as [CoreState, CoreState];
     const other = apply(Apply.empty, { do: 'replace', id: 'other', base: 0, intent: routing(7, 2) });
-    const next = put(one, 2, 2);
+    const next = replaceRouting(one, 2, 2);
     expect(other.seq).to.equal(one.seq);
     const change = StateChanges.make().between(one, next);
     expect(StateChanges.make().apply(other, change)).to.equal(null);
     expect(StateChanges.make().apply(Apply.empty, change)).to.equal(null);
     expect(StateChanges.make().apply(one, change)).to.deep.equal(next);
   });
-  it('gives nothing where what comes out is not what was told of', () => {
+  it('rejects a change whose outcome does not have the stated digest', () => {
     const [, one, two] = history(2, 2) as [CoreState, CoreState, CoreState];
     const change = StateChanges.make().between(one, two);
-    const bent = [
+    const corrupted = [
       { ...change, forgotten: ['id-1'] },
       { ...change, plans: [] },
       { ...change, claims: { x: { id: 'k', born: 'b', fence: 1 } } },
       { ...change, result: { ...change.result, seq: 9 } },
     ];
-    for (const b of bent) expect(StateChanges.make().apply(one, b)).to.equal(null);
+    for (const corruptedChange of corrupted) expect(StateChanges.make().apply(one, corruptedChange)).to.equal(null);
   });
-  it('is nothing but two names where both versions are the same', () => {
+  it('sends only two version names if both versions are the same', () => {
     const state = history(300, 8).at(-1)!;
-    const change = StateChanges.make().between(overWire(state), state);
-    expect(size(change)).to.be.lessThan(250);
+    const change = StateChanges.make().between(throughJson(state), state);
+    expect(jsonLength(change)).to.be.lessThan(250);
     expect(StateChanges.make().apply(state, change)).to.equal(state);
   });
   for (const [routes, most] of [
     [8, 0.25],
     [2600, 0.01],
   ] as const)
-    it(`is small beside the whole state at ${routes} routes, after 300 changes`, () => {
+    it(`sends little of the whole state at ${routes} routes, after 300 changes`, () => {
       const all = history(300, routes === 8 ? 8 : 1);
-      const base = routes === 8 ? all.at(-2)! : put(all.at(-1)!, 301, routes);
-      const next = routes === 8 ? all.at(-1)! : put(base, 302, routes);
+      const base = routes === 8 ? all.at(-2)! : replaceRouting(all.at(-1)!, 301, routes);
+      const next = routes === 8 ? all.at(-1)! : replaceRouting(base, 302, routes);
       const change = StateChanges.make().between(base, next);
-      expect(size(change) / size(next)).to.be.lessThan(most);
-      expect(StateChanges.make().apply(overWire(base), overWire(change))).to.deep.equal(next);
+      expect(jsonLength(change) / jsonLength(next)).to.be.lessThan(most);
+      expect(StateChanges.make().apply(throughJson(base), throughJson(change))).to.deep.equal(next);
     });
-  it('names a version by its content, wherever it was read from', () => {
+  it('gives equal digests to equal states, however they were obtained', () => {
     const state = history(5, 3).at(-1)!;
-    expect(StateDigest.of(overWire(state))).to.equal(StateDigest.of(state));
+    expect(StateDigest.of(throughJson(state))).to.equal(StateDigest.of(state));
   });
 });
