--- a/packages/registry/src/chain/batch.ts
+++ b/packages/registry/src/chain/batch.ts
@@ -36,7 +36,7 @@
       current = outcome.state;
       return { pending, ruling: outcome.ruling, changedState: before !== outcome.state };
     });
-    return { next: current === state ? state : { ...current, seq: state.seq + 1 }, ruled: ruled };
+    return { next: current === state ? state : { ...current, seq: state.seq + 1 }, ruled };
   },
   /** Answers the callers once the version is committed (`committed`) or its fate is unknown. */
   reply(ruled: readonly RuledCommand[], committed: boolean): void {
--- a/packages/registry/src/chain/chain.ts
+++ b/packages/registry/src/chain/chain.ts
@@ -40,11 +40,11 @@
     let queue: PendingCommand[] = [];
     let lastOperation: Promise<unknown> = Promise.resolve();
     let signalViewChange: () => void = () => undefined;
-    let viewChanged = new Promise<null>((done) => {
-      signalViewChange = () => done(null);
+    let viewChanged = new Promise<null>((resolve) => {
+      signalViewChange = () => resolve(null);
     });
     const changes = StateChanges.make();
-    const handover = StateTransfer.make(post, changes);
+    const stateTransfer = StateTransfer.make(post, changes);
     const log = world.log('chain');
     const exclusively = <T>(operation: () => Promise<T>): Promise<T> => {
       const next = lastOperation.then(operation, operation);
@@ -73,7 +73,7 @@
         next = view.chain[position + 1];
       if (position < 0) return false;
       if (next) {
-        const delivered = await Promise.race([viewChanged, handover.send(next, view.epoch, newState)]);
+        const delivered = await Promise.race([viewChanged, stateTransfer.send(next, view.epoch, newState)]);
         if (!delivered) return false;
       }
       if (hooks.view()?.epoch !== view.epoch) return false;
@@ -106,7 +106,7 @@
         Batch.refuse(batch, reason ?? 'No view is in force.');
         return;
       }
-      const { next, ruled: ruled } = Batch.apply(state, batch);
+      const { next, ruled } = Batch.apply(state, batch);
       if (next !== state) recordWriteStart(next);
       const succeeded = (await persist(next)) && (await forward(view, next)) && hooks.holdsLease();
       Batch.reply(ruled, succeeded);
@@ -169,26 +169,27 @@
       fresh: (): boolean => syncedEpoch === hooks.view()?.epoch,
       /** Commands that are waiting to be applied. */
       backlog: (): number => queue.length,
+      /** Queues a command; resolves once its version is committed or has failed. */
       write: (command: Command): Promise<CommandResult> =>
-        new Promise((done) => {
+        new Promise((resolve) => {
           const reason = whyNotReady();
           if (reason !== null) {
-            done({ verdict: Verdicts.not('unready', reason, 1) });
+            resolve({ verdict: Verdicts.not('unready', reason, 1) });
             return;
           }
           if (queue.length >= 256) {
-            done({ verdict: Verdicts.not('full', 'Too many commands are waiting.', 1) });
+            resolve({ verdict: Verdicts.not('full', 'Too many commands are waiting.', 1) });
             return;
           }
-          queue = [...queue, { command, reply: done }];
+          queue = [...queue, { command, reply: resolve }];
           void drainQueue();
         }),
       /** Ends transfers of the old view and forgets what was committed; a new head then resynchronizes the chain. */
       onViewChange(): void {
         committed = null;
         signalViewChange();
-        viewChanged = new Promise<null>((done) => {
-          signalViewChange = () => done(null);
+        viewChanged = new Promise<null>((resolve) => {
+          signalViewChange = () => resolve(null);
         });
         const { seq, charter } = state;
         log.say(
@@ -196,7 +197,7 @@
         );
         void resyncChain();
       },
-      /** A member further down has been replaced, or holds no state of this view yet. */
+      /** Resynchronizes the chain if a member further down lost its place or holds no state of this view yet. */
       resync(): void {
         if (readyEpoch !== 0) {
           readyEpoch = 0;
--- a/packages/registry/src/chain/command.ts
+++ b/packages/registry/src/chain/command.ts
@@ -20,8 +20,8 @@
   Type.Object(
     {
       do: Type.Literal('replace'),
-      id: Type.String({ minLength: 1, maxLength: 60, description: "the caller's digest of base and intent" }),
-      base: Type.Integer({ minimum: 0, description: 'the revision in force that it is written against; 0 for none' }),
+      id: Type.String({ minLength: 1, maxLength: 60, description: "the caller's digest of `base` and `intent`" }),
+      base: Type.Integer({ minimum: 0, description: 'the revision in force on which the intent is based; 0 for none' }),
       intent: Routing,
     },
     strict,
--- a/packages/registry/src/chain/controlclient.ts
+++ b/packages/registry/src/chain/controlclient.ts
@@ -108,8 +108,8 @@
     if (!ownView) post.on('core.hint', CoreMessages.empty, () => ({ view }));
     return {
       view: (): View | null => view,
-      learn: learn,
-      look: look,
+      learn,
+      look,
       /** Sends a command to the head. `sent` is the time of the last attempt, from which a lease's `term` counts. */
       async write(command: Command, timeoutMs = 4000): Promise<{ ruling: CommandResult; term: number; sent: number }> {
         let maybeWritten = false;
--- a/packages/registry/src/consensus/view.ts
+++ b/packages/registry/src/consensus/view.ts
@@ -18,10 +18,13 @@
     voters: Type.Array(Member, { minItems: 3, maxItems: ViewLimits.maxVoters }),
     chain: Type.Array(Member, { minItems: 1, maxItems: ViewLimits.maxChainLength }),
     joining: Type.Optional(
-      Type.Array(Member, { ...members, description: 'members of the chain not known to hold all that was confirmed' }),
+      Type.Array(Member, { ...members, description: 'chain members not known to hold everything that was committed' }),
     ),
     reserve: Type.Optional(
-      Type.Array(Member, { ...members, description: 'members out of the chain that hold all that was confirmed' }),
+      Type.Array(Member, {
+        ...members,
+        description: 'members outside the chain that hold everything that was committed',
+      }),
     ),
   },
   { additionalProperties: false },
--- a/packages/registry/src/consensus/viewchanger.ts
+++ b/packages/registry/src/consensus/viewchanger.ts
@@ -80,7 +80,7 @@
           addresses.addressOf(m),
           m.id,
           'core.prepare',
-          { epoch, ballot: ballot },
+          { epoch, ballot },
           CoreMessages.prepareReply,
           CoreTimings.requestTimeoutMs,
         );
@@ -94,7 +94,7 @@
       }
       const granted = promises.filter((v) => v.ok);
       const hasAcceptedView = granted.some((v) => v.took);
-      // The view's own voters continue without this proposer, so no other candidate's promises may be counted.
+      // A candidate has accepted a view that its voters complete alone, so this round's promises must not be counted.
       if (BootstrapRules.isTakenOver(promisers.length, voters.length, hasAcceptedView)) return null;
       if (granted.length < promisesNeeded(hasAcceptedView)) {
         const waitMs = Math.min(CoreTimings.viewLeaseMs, Math.max(...promises.map((v) => v.wait ?? 0), 0));
@@ -109,7 +109,7 @@
           addresses.addressOf(m),
           m.id,
           'core.accept',
-          { epoch, ballot: ballot, view },
+          { epoch, ballot, view },
           CoreMessages.acceptReply,
           CoreTimings.requestTimeoutMs,
         );
--- a/packages/registry/src/consensus/voter.ts
+++ b/packages/registry/src/consensus/voter.ts
@@ -75,11 +75,11 @@
           const result = await persist(next);
           return { ok: result.ok, promised: ballot };
         }),
-      /** Drops the lease of a holder that released it, if it was granted on the view of `epoch`. */
+      /** Drops the lease of a holder that released it, while a recall on the view of `epoch` is in progress. */
       releaseLease(epoch: number, holder: Identity): void {
         if (epoch === presentEpoch && mono() < viewChangeUntil) leases.delete(leaseKey(holder));
       },
-      /** Installs a new view; promises and recalls of the old one no longer count. */
+      /** Called once a new view is in force; ends the recall on the old one and drops expired leases. */
       onViewChange(epoch: number): void {
         presentEpoch = epoch;
         viewChangeUntil = 0;
--- a/packages/registry/src/core.ts
+++ b/packages/registry/src/core.ts
@@ -75,12 +75,12 @@
     const isHead = (): boolean => !!view && Views.same(Views.head(view), me());
     const chain = Chain.make(world, post, store, restored.state, {
       view: () => view,
-      holdsLease: holdsLease,
+      holdsLease,
       me,
-      onDiskFault: onDiskFault,
+      onDiskFault,
       onCommitted: hooks.onCommitted,
     });
-    const service = CoreService.make(world, post, { view: () => view, holdsLease: holdsLease, chain, isTail, isHead });
+    const service = CoreService.make(world, post, { view: () => view, holdsLease, chain, isTail, isHead });
     const installView = (next: View): void => {
       view = next;
       voter.onViewChange(next.epoch);
@@ -104,7 +104,7 @@
       me,
       addresses,
       view: () => view,
-      isCandidate: isCandidate,
+      isCandidate,
       adopt,
     });
 
@@ -217,7 +217,7 @@
       life: (): string => lifecycle.machine.current,
       live: holdsLease,
       chain,
-      service: service,
+      service,
     };
   },
 };
--- a/packages/registry/src/coretimings.ts
+++ b/packages/registry/src/coretimings.ts
@@ -14,8 +14,7 @@
   /** Term of a named lease given to a daemon. */
   lease: 2000,
   /**
-   * How long a daemon waits after acquiring a lease that had another holder before it acts, so that the old holder has
-   * stopped.
+   * How long a daemon waits before it acts under a lease that had an earlier holder, so that this holder has stopped.
    */
   quiet: 3000,
   /** A daemon that has not checked in for this long is not live. */
--- a/packages/registry/src/lending/bursts.ts
+++ b/packages/registry/src/lending/bursts.ts
@@ -28,7 +28,7 @@
  * replicated state.
  */
 export const Bursts = {
-  isFinished: isFinished,
+  isFinished,
   /** Applies a command. Repeating a command that has taken effect succeeds and changes nothing. */
   apply(bursts: readonly Burst[], leases: LeaseFences, command: Command): Outcome {
     const refuse = (code: string, why: string): Outcome => ({ bursts, verdict: Verdicts.not(code, why) });
@@ -51,7 +51,7 @@
       if (generationCount > LIMITS.generationsPerBurst || promptBytes > LIMITS.promptBytes)
         return refuse(
           'toolarge',
-          `A burst has ${LIMITS.generationsPerBurst} generations and ${LIMITS.promptBytes} bytes of prompts at most.`,
+          `At most ${LIMITS.generationsPerBurst} generations and ${LIMITS.promptBytes} bytes of prompts per burst.`,
         );
       const keptBursts = bursts.filter((b) => !b.gone);
       if (
--- a/packages/registry/src/lending/burstspec.ts
+++ b/packages/registry/src/lending/burstspec.ts
@@ -16,7 +16,7 @@
     repeats: Type.Integer({
       minimum: 0,
       maximum: 8,
-      description: 'how often a generation that may have run is run again; 0 where it must not be',
+      description: 'how often a generation that may have run is repeated; 0 if it must not be',
     }),
   },
   { additionalProperties: false },
--- a/packages/registry/src/lending/loan.ts
+++ b/packages/registry/src/lending/loan.ts
@@ -12,8 +12,8 @@
     born: Type.String(),
     part: Type.Union([Type.Literal('prefill'), Type.Literal('decode')]),
     slots: Type.Integer({ minimum: 0 }),
-    holder: Type.String({ description: 'the daemon that borrows' }),
-    burst: Type.String({ description: 'the first of the bursts that it borrows for' }),
+    holder: Type.String({ description: 'the daemon that borrows the slots' }),
+    burst: Type.String({ description: 'the first of the bursts that the loan is for' }),
     why: Type.Union([
       Type.Literal('lent'),
       Type.Literal('live'),
@@ -22,7 +22,7 @@
       Type.Literal('lapsed'),
     ]),
     by: Type.String(),
-    since: Type.Number({ description: 'by the wall clock of the lender, to read only' }),
+    since: Type.Number({ description: 'wall-clock time of the lender, for display only' }),
   },
   { additionalProperties: false },
 );
--- a/packages/registry/src/membership/addressbook.ts
+++ b/packages/registry/src/membership/addressbook.ts
@@ -17,20 +17,20 @@
  * replica replies for itself, so a wrong address costs a request but never affects a vote.
  */
 export const AddressBook = {
-  make(world: World, post: PostBox, me: () => Member, cores: () => readonly string[]) {
+  make(world: World, post: PostBox, me: () => Member, coreAddresses: () => readonly string[]) {
     const addresses = Fading.make<string>(world.clock.mono, MAX_ADDRESSES);
     const identityKey = (identity: Identity): string => `${identity.id}/${identity.born}`;
     let nextSearchAt = 0;
     const record = (member: Member): void => addresses.set(identityKey(member), member.addr, ADDRESS_TTL_MS);
     return {
-      record: record,
+      record,
       /** The address that the member last reported, else the one in the view. */
       addressOf: (member: Member): string => addresses.get(identityKey(member)) ?? member.addr,
       /** Asks all addresses where control replicas may be which replica is there now, at most once a second. */
       async search(view: View): Promise<void> {
         if (world.clock.mono() < nextSearchAt) return;
         nextSearchAt = world.clock.mono() + CoreTimings.addressSearchIntervalMs;
-        const targets = new Set([...cores(), ...Views.all(view).map((m) => m.addr)]);
+        const targets = new Set([...coreAddresses(), ...Views.all(view).map((m) => m.addr)]);
         targets.delete(me().addr);
         await Promise.all(
           [...targets].map(async (addr) => {
--- a/packages/registry/src/membership/failuredetector.ts
+++ b/packages/registry/src/membership/failuredetector.ts
@@ -42,7 +42,7 @@
     });
 
     return {
-      recordHeartbeat: recordHeartbeat,
+      recordHeartbeat,
       lastHeartbeat: (member: Member): Heartbeat | undefined => heartbeats.get(identityKey(member)),
       /** Time since a member's last heartbeat, or since the view began if there was none in it. */
       silentForMs: (member: Member): number =>
--- a/packages/registry/src/membership/repairtask.ts
+++ b/packages/registry/src/membership/repairtask.ts
@@ -32,15 +32,15 @@
       detector.silentForMs(member) > CoreTimings.suspectAfterMs + delayMs ||
       (detector.unansweredForMs(member) > UNANSWERED_TIMEOUT_MS + delayMs && majorityReplies(view));
     const shouldRemove = (view: View, member: Member): boolean => isFaulty(member) || isUnresponsive(view, member, 0);
-    const isFresh = (view: View, member: Member): boolean => {
+    const isCaughtUp = (view: View, member: Member): boolean => {
       const heartbeat = detector.lastHeartbeat(member);
       return heartbeat?.fresh === true && heartbeat.epoch === view.epoch;
     };
     /** Chain members without a vote that hold the whole state of this view. */
     const caughtUpNonVoters = (view: View): Member[] =>
-      view.chain.filter((m) => !isSelf(m) && !Views.votes(view, m) && isFresh(view, m));
+      view.chain.filter((m) => !isSelf(m) && !Views.votes(view, m) && isCaughtUp(view, m));
     const knowledge = (view: View) => ({
-      fresh: (m: Member): boolean => (isSelf(m) ? chain.fresh() : isFresh(view, m)),
+      fresh: (m: Member): boolean => (isSelf(m) ? chain.fresh() : isCaughtUp(view, m)),
       emptied: (m: Member): boolean => detector.hasLostDisk(m),
     });
     const propose = (view: View, next: View | null, reason: string): void => {
@@ -75,13 +75,13 @@
       const caughtUp = caughtUpNonVoters(view);
       for (const newVoter of caughtUp) {
         const oldVoter = view.voters.find((x) => x.id === newVoter.id);
-        if (oldVoter) return { newVoter: newVoter, oldVoter: oldVoter };
+        if (oldVoter) return { newVoter, oldVoter };
       }
       const hasNamesake = (x: Member): boolean => view.chain.some((m) => m.id === x.id);
       const oldVoter = view.voters.find(
         (x) => !isSelf(x) && !hasNamesake(x) && detector.silentForMs(x) > CoreTimings.suspectAfterMs,
       );
-      return caughtUp[0] && oldVoter ? { newVoter: caughtUp[0], oldVoter: oldVoter } : null;
+      return caughtUp[0] && oldVoter ? { newVoter: caughtUp[0], oldVoter } : null;
     };
     let noLeaseSince: number | null = null;
     const renewView = (view: View): void => {
@@ -126,8 +126,8 @@
         if (viewChanger.isBusy()) return;
         const transfer = voteTransfer(view);
         if (transfer) {
-          const why = `${transfer.newVoter.id} has caught up and becomes a voter.`;
-          propose(view, NextViews.withVoter(view, transfer.newVoter, transfer.oldVoter, knowledge(view)), why);
+          const reason = `${transfer.newVoter.id} has caught up and becomes a voter.`;
+          propose(view, NextViews.withVoter(view, transfer.newVoter, transfer.oldVoter, knowledge(view)), reason);
           return;
         }
         recordCompletion(view);
--- a/packages/registry/src/registrar.ts
+++ b/packages/registry/src/registrar.ts
@@ -74,7 +74,7 @@
       ]),
     ];
     const core = Core.make(world, post, () => ident, store, restored.val, {
-      coreAddresses: coreAddresses,
+      coreAddresses,
       seeds,
       losses: settings.losses ?? 1,
       mayFormFirstView: settings.first ?? true,
--- a/packages/registry/src/service/coremeter.ts
+++ b/packages/registry/src/service/coremeter.ts
@@ -7,12 +7,12 @@
 /** Metrics of a control replica for operators. */
 export const CoreMeter = {
   /** Wraps `world` so that its history events are counted as well. */
-  listen(world: World, meters: Metering): World {
-    const diskWriteSeconds = meters.time('disk_write_seconds', 'to write, sync and rename one file', ['kind', 'done']);
-    const writes = meters.count('chain_writes_total', 'versions begun at the head');
-    const views = meters.count('views_total', 'views that this daemon saw agreed as their proposer');
-    const diskFailures = meters.count('sick_total', 'times that its disk failed');
-    const docsHeld = meters.count('docs_held_total', 'versions taken in, by how they came', ['via']);
+  listen(world: World, metrics: Metering): World {
+    const diskWriteSeconds = metrics.time('disk_write_seconds', 'to write, sync and rename one file', ['kind', 'done']);
+    const writes = metrics.count('chain_writes_total', 'versions begun at the head');
+    const views = metrics.count('views_total', 'views that this daemon saw agreed as their proposer');
+    const diskFailures = metrics.count('sick_total', 'times that its disk failed');
+    const docsHeld = metrics.count('docs_held_total', 'versions taken in, by how they came', ['via']);
     return {
       ...world,
       tell(event) {
@@ -27,22 +27,26 @@
     };
   },
   /** Registers gauges that are read at each scrape. */
-  levels(meters: Metering, node: Node): void {
+  levels(metrics: Metering, node: Node): void {
     const { core } = node;
     const position = (): number => {
       const view = core.view();
       return view ? Views.place(view, node.ident) + 1 : 0;
     };
-    meters.level('chain_place', '1 is the head; 0 is out of the chain', position);
-    meters.level('chain_length', 'members of the chain, as this daemon knows it', () => core.view()?.chain.length ?? 0);
-    meters.level('view_epoch', 'how often the chain was agreed anew', () => core.view()?.epoch ?? 0);
-    meters.level('view_claim', '1 while it may speak for its view', () => (core.live() ? 1 : 0));
-    meters.level('chain_backlog', 'commands that wait for their turn', () => core.chain.backlog());
-    meters.level(
+    metrics.level('chain_place', '1 is the head; 0 is out of the chain', position);
+    metrics.level(
+      'chain_length',
+      'members of the chain, as this daemon knows it',
+      () => core.view()?.chain.length ?? 0,
+    );
+    metrics.level('view_epoch', 'how often the chain was agreed anew', () => core.view()?.epoch ?? 0);
+    metrics.level('view_claim', '1 while it may speak for its view', () => (core.live() ? 1 : 0));
+    metrics.level('chain_backlog', 'commands that wait for their turn', () => core.chain.backlog());
+    metrics.level(
       'charter_version',
       'the charter known to be on all of the chain',
       () => core.chain.passed()?.charter?.version ?? null,
     );
-    meters.levels('purge', 'what gossip has done since the start', 'what', () => node.purge.count());
+    metrics.levels('purge', 'what gossip has done since the start', 'what', () => node.purge.count());
   },
 };
--- a/packages/registry/src/service/tracedesk.ts
+++ b/packages/registry/src/service/tracedesk.ts
@@ -27,7 +27,9 @@
       {
         who: Ident,
         sure: Type.Optional(
-          Type.Boolean({ description: 'whether it knows that its charter is not an older one than it had' }),
+          Type.Boolean({
+            description: 'whether the daemon knows that its configuration is not older than one it had before',
+          }),
         ),
         marks: Type.Array(Type.Object({ name: Type.String(), mark: Mark }, strict)),
         steps: Type.Array(Step),
--- a/packages/registry/src/state/corestate.ts
+++ b/packages/registry/src/state/corestate.ts
@@ -27,7 +27,7 @@
       ),
     ),
     bursts: Type.Optional(
-      Type.Array(Burst, { description: 'in order of their beginning; left out while there is none' }),
+      Type.Array(Burst, { description: 'in the order in which they began; absent while there is none' }),
     ),
   },
   { additionalProperties: false },
--- a/packages/registry/src/state/plan.ts
+++ b/packages/registry/src/state/plan.ts
@@ -12,7 +12,7 @@
     base: Type.Integer({ minimum: 0 }),
     fate: Type.Union([Type.Literal('open'), Type.Literal('won'), Type.Literal('lost'), Type.Literal('dropped')]),
     version: Type.Optional(Type.Integer()),
-    over: Type.Optional(Type.Integer({ minimum: 0, description: 'the revision that it was put in the place of' })),
+    over: Type.Optional(Type.Integer({ minimum: 0, description: 'the revision that it replaced' })),
     charter: Type.Optional(Intent),
   },
   { additionalProperties: false },
--- a/packages/registry/src/state/store.ts
+++ b/packages/registry/src/state/store.ts
@@ -50,7 +50,7 @@
       },
       /** Loads all files; sets them all aside if any is damaged or missing. */
       async load(): Promise<Result<Restored, string>> {
-        const got = new Map<string, unknown>();
+        const loaded = new Map<string, unknown>();
         let bad = false;
         for (const [kind, schema] of SCHEMAS) {
           const file = await disk.last(kind);
@@ -59,10 +59,10 @@
           fileNumbers.set(kind, file.val.n);
           const parsed = Check.parse(schema, file.val.v);
           if (file.val.bad || parsed.err) bad = true;
-          else got.set(kind, parsed.val);
+          else loaded.set(kind, parsed.val);
         }
-        const self = got.get('self') as Static<typeof IdentitySchema> | undefined;
-        if (bad || isIncomplete(self, got)) {
+        const self = loaded.get('self') as Static<typeof IdentitySchema> | undefined;
+        if (bad || isIncomplete(self, loaded)) {
           const result = await disk.aside();
           return result.err
             ? Err(result.val)
@@ -70,9 +70,9 @@
         }
         return Ok({
           born: self?.born ?? null,
-          view: (got.get('view') as View | null | undefined) ?? null,
-          vote: (got.get('vote') as Vote | null | undefined) ?? null,
-          state: (got.get('state') as CoreState | undefined) ?? Apply.empty,
+          view: (loaded.get('view') as View | null | undefined) ?? null,
+          vote: (loaded.get('vote') as Vote | null | undefined) ?? null,
+          state: (loaded.get('state') as CoreState | undefined) ?? Apply.empty,
           bad: false,
         });
       },
