--- a/packages/registry/src/chain/command.ts
+++ b/packages/registry/src/chain/command.ts
@@ -2,9 +2,11 @@
 import { Type, type Static } from 'typebox';
 import { BurstCommand } from '../lending/burstcommand.js';
 
-const shut = { additionalProperties: false } as const;
+const strict = { additionalProperties: false } as const;
 
-/** What enters at the head. */
+/**
+ * A command for the head of the chain, named by `do`. `born` is the incarnation of the daemon that asks for a lease.
+ */
 export const Command = Type.Union([
   Type.Object(
     {
@@ -13,19 +15,19 @@
       base: Type.Integer({ minimum: 0 }),
       charter: Intent,
     },
-    shut,
+    strict,
   ),
   Type.Object(
     {
       do: Type.Literal('replace'),
-      id: Type.String({ minLength: 1, maxLength: 60, description: "the caller's digest of base and intent" }),
-      base: Type.Integer({ minimum: 0, description: 'the revision in force that it is written against; 0 for none' }),
+      id: Type.String({ minLength: 1, maxLength: 60, description: "the caller's digest of `base` and `intent`" }),
+      base: Type.Integer({ minimum: 0, description: 'the revision in force on which the intent is based; 0 for none' }),
       intent: Routing,
     },
-    shut,
+    strict,
   ),
-  Type.Object({ do: Type.Literal('confirm'), id: Type.String() }, shut),
-  Type.Object({ do: Type.Literal('drop'), id: Type.String() }, shut),
+  Type.Object({ do: Type.Literal('confirm'), id: Type.String() }, strict),
+  Type.Object({ do: Type.Literal('drop'), id: Type.String() }, strict),
   Type.Object(
     {
       do: Type.Literal('claim'),
@@ -33,7 +35,7 @@
       id: Type.String(),
       born: Type.String(),
     },
-    shut,
+    strict,
   ),
   ...BurstCommand.anyOf,
 ]);
--- a/packages/registry/src/chain/statehandover.ts
+++ b/packages/registry/src/chain/statehandover.ts
@@ -5,46 +5,60 @@
 import type { CoreState } from '../state/corestate.js';
 import type { StateChanges } from '../state/statechanges.js';
 
-type Held = { member: string; state: CoreState };
+type AcknowledgedState = { member: string; state: CoreState };
 
 /**
- * Hands versions to the next member of the chain: what changed against the version that it holds, or the whole state
- * if it lacks that one. Invariant: true is given only on the member's word that it holds the version.
+ * Sends versions of the state to the next chain member: as a change against the version that it holds, or whole if it
+ * lacks that version. Invariant: `send` returns true only after the member has confirmed that it holds the version.
  */
-export const StateHandover = {
+export const StateTransfer = {
   make(post: PostBox, changes: StateChanges) {
-    /** What the next member said last that it holds. */
-    let held: Held | null = null;
-    const whole = async (to: Member, epoch: number, state: CoreState): Promise<boolean> => {
+    /** The version that the successor last confirmed. */
+    let acknowledged: AcknowledgedState | null = null;
+    const sendWhole = async (successor: Member, epoch: number, state: CoreState): Promise<boolean> => {
       const reply = await post.ask(
-        ...([to.addr, to.id, 'core.push' as const, { epoch, state }, CoreMessages.done, CoreTimings.push] as const),
+        ...([
+          successor.addr,
+          successor.id,
+          'core.push' as const,
+          { epoch, state },
+          CoreMessages.acknowledgement,
+          CoreTimings.stateTransferTimeoutMs,
+        ] as const),
       );
       return reply.ok && reply.val.ok;
     };
-    /** Null when it must be sent whole: the member lacks the base, or its release does not know changes. */
-    const changed = async (to: Member, epoch: number, base: CoreState, state: CoreState): Promise<boolean | null> => {
+    /**
+     * Null if the state must be sent whole: the member lacks the base version, or its release does not support changes.
+     */
+    const sendChange = async (
+      successor: Member,
+      epoch: number,
+      base: CoreState,
+      state: CoreState,
+    ): Promise<boolean | null> => {
       const change = changes.between(base, state);
       const reply = await post.ask(
         ...([
-          to.addr,
-          to.id,
+          successor.addr,
+          successor.id,
           'core.change' as const,
           { epoch, change },
-          CoreMessages.changed,
-          CoreTimings.push,
+          CoreMessages.changeReply,
+          CoreTimings.stateTransferTimeoutMs,
         ] as const),
       );
       if (reply.err) return reply.val === 'wrong' ? null : false;
       return reply.val.lacking ? null : reply.val.ok;
     };
     return {
-      async give(to: Member, epoch: number, state: CoreState): Promise<boolean> {
-        const member = `${to.id}/${to.born}`;
-        // After a new view it most likely holds the same as this one does.
-        const base = held?.member === member ? held.state : state;
-        held = null;
-        const ok = (await changed(to, epoch, base, state)) ?? (await whole(to, epoch, state));
-        if (ok) held = { member, state };
+      async send(successor: Member, epoch: number, state: CoreState): Promise<boolean> {
+        const memberKey = `${successor.id}/${successor.born}`;
+        // After a view change the successor most likely holds the same version as this member.
+        const base = acknowledged?.member === memberKey ? acknowledged.state : state;
+        acknowledged = null;
+        const ok = (await sendChange(successor, epoch, base, state)) ?? (await sendWhole(successor, epoch, state));
+        if (ok) acknowledged = { member: memberKey, state };
         return ok;
       },
     };
--- a/packages/registry/src/consensus/leaserecall.ts
+++ b/packages/registry/src/consensus/leaserecall.ts
@@ -9,10 +9,10 @@
 import type { Voter } from './voter.js';
 
 /**
- * How leases end before their term once a next view is under way: a voter asks those that hold its leases to lay them
- * down, and need not wait for the term of one that did. Invariants: a holder speaks no more, and takes up no lease that
- * it asked for before, once it has said so; a voter asks only while it grants nothing, and forgets a lease only on its
- * holder's reply to that very question.
+ * Ends leases before they expire once the next view is being prepared. A voter asks the holders of its leases to
+ * release them, and need not wait for the expiry of a released one. Invariants: once a holder has agreed, it no longer
+ * acts under the lease and ignores grants that it requested before; a voter recalls leases only while it grants none,
+ * and drops a lease only on its holder's reply to that very recall.
  */
 export const LeaseRecall = {
   make(
@@ -24,34 +24,35 @@
     detector: FailureDetector,
     voter: Voter,
   ) {
-    post.on('core.rest', CoreMessages.rest, (body) => {
+    post.on('core.rest', CoreMessages.leaseRecall, (body) => {
       const ok = view()?.epoch === body.epoch;
-      if (ok) detector.rest();
+      if (ok) detector.releaseLeases();
       return { ok };
     });
-    const ask = async (v: View, m: Member): Promise<void> => {
-      if (Views.same(m, me())) detector.rest();
+    const recallFrom = async (recalledView: View, holder: Member): Promise<void> => {
+      if (Views.same(holder, me())) detector.releaseLeases();
       else {
-        const r = await post.ask(
-          addresses.of(m),
-          m.id,
+        const reply = await post.ask(
+          addresses.addressOf(holder),
+          holder.id,
           'core.rest',
-          { epoch: v.epoch },
-          CoreMessages.done,
-          CoreTimings.ask,
+          { epoch: recalledView.epoch },
+          CoreMessages.acknowledgement,
+          CoreTimings.requestTimeoutMs,
         );
-        if (!r.ok || !r.val.ok) return;
+        if (!reply.ok || !reply.val.ok) return;
       }
-      voter.rested(v.epoch, m);
+      voter.releaseLease(recalledView.epoch, holder);
     };
     return {
       ...voter,
       async prepare(epoch: number, ballot: number): ReturnType<Voter['prepare']> {
-        const first = await voter.prepare(epoch, ballot),
-          v = view();
-        if (first.ok || first.wait === 0 || !v || v.epoch + 1 !== epoch) return first;
-        const all = Promise.all(v.chain.map((m) => ask(v, m)));
-        await Promise.race([all, Timer.nap(world.clock, CoreTimings.rest)]);
+        const firstAttempt = await voter.prepare(epoch, ballot),
+          presentView = view();
+        if (firstAttempt.ok || firstAttempt.wait === 0 || !presentView || presentView.epoch + 1 !== epoch)
+          return firstAttempt;
+        const recalls = Promise.all(presentView.chain.map((m) => recallFrom(presentView, m)));
+        await Promise.race([recalls, Timer.nap(world.clock, CoreTimings.leaseRecallTimeoutMs)]);
         return voter.prepare(epoch, ballot);
       },
     };
--- a/packages/registry/src/duties/leases.ts
+++ b/packages/registry/src/duties/leases.ts
@@ -1,44 +1,48 @@
 import { Verdicts, type Clock } from '@pumicebarrow/forms';
 import type { Chain } from '../chain/chain.js';
 import { CoreTimings } from '../coretimings.js';
-import type { Ruling } from '../chain/ruling.js';
+import type { CommandResult } from '../chain/ruling.js';
 
 /**
- * Leases, as the head gives them. The holder and its fence are in the chain; how long it may go on is only here.
- * Invariant: no name goes to a new holder while the old one may still think it holds it; a new head, which can't
- * know, waits one whole term first.
+ * Named leases, granted by the head. The holder and its fencing token are replicated in the chain; the expiry time is
+ * known only to the head. Invariant: a name is not granted to a new holder while the old one may still believe that it
+ * holds the lease. A new head does not know the expiry times, so it first waits one whole term.
  */
-export const Leases = {
-  make(clock: Clock, chain: Chain, live: () => boolean) {
-    const until = new Map<string, number>();
-    const asked = new Set<string>();
-    let calm = 0;
+export const NamedLeases = {
+  make(clock: Clock, chain: Chain, holdsLease: () => boolean) {
+    const expiresAt = new Map<string, number>();
+    const pendingTransfers = new Set<string>();
+    let newHeadWaitUntil = 0;
     return {
-      moved(): void {
-        until.clear();
-        calm = clock.mono() + CoreTimings.lease;
+      onViewChange(): void {
+        expiresAt.clear();
+        newHeadWaitUntil = clock.mono() + CoreTimings.lease;
       },
-      yield(name: string, id: string, born: string): void {
-        const held = chain.passed()?.claims[name];
-        if (held && held.id === id && held.born === born) until.set(name, 0);
+      /** Ends the lease at once if this daemon incarnation holds it. */
+      release(name: string, id: string, incarnation: string): void {
+        const holder = chain.passed()?.claims[name];
+        if (holder && holder.id === id && holder.born === incarnation) expiresAt.set(name, 0);
       },
-      async take(name: string, id: string, born: string): Promise<Ruling> {
-        const held = chain.passed()?.claims[name],
+      /** Grants or renews a lease, or refuses with the time until it may be free. */
+      async acquire(name: string, id: string, incarnation: string): Promise<CommandResult> {
+        const holder = chain.passed()?.claims[name],
           now = clock.mono();
-        if (!live() || !chain.ready()) return { verdict: Verdicts.not('unready', 'The core is not ready.', 1) };
-        if (held && held.id === id && held.born === born) {
-          if (asked.has(name)) return { verdict: Verdicts.not('busy', 'The lease is changing hands.', 1) };
-          until.set(name, now + CoreTimings.lease);
-          return { verdict: Verdicts.ran('claimed', `${id} holds ${name}.`), fence: held.fence };
+        if (!holdsLease() || !chain.isReady())
+          return { verdict: Verdicts.not('unready', 'The control replicas are not ready.', 1) };
+        if (holder && holder.id === id && holder.born === incarnation) {
+          if (pendingTransfers.has(name))
+            return { verdict: Verdicts.not('busy', 'The lease is being granted to another daemon.', 1) };
+          expiresAt.set(name, now + CoreTimings.lease);
+          return { verdict: Verdicts.ran('claimed', `${id} holds ${name}.`), fence: holder.fence };
         }
-        const wait = held ? (until.get(name) ?? calm) - now : 0;
-        if (wait > 0 || asked.has(name))
-          return { verdict: Verdicts.not('held', `${name} is held.`, Math.max(wait, 100) / 1000) };
-        asked.add(name);
-        const ruling = await chain.write({ do: 'claim', name, id, born });
-        asked.delete(name);
-        until.set(name, clock.mono() + CoreTimings.lease);
-        return ruling;
+        const waitMs = holder ? (expiresAt.get(name) ?? newHeadWaitUntil) - now : 0;
+        if (waitMs > 0 || pendingTransfers.has(name))
+          return { verdict: Verdicts.not('held', `${name} is held by another daemon.`, Math.max(waitMs, 100) / 1000) };
+        pendingTransfers.add(name);
+        const result = await chain.write({ do: 'claim', name, id, born: incarnation });
+        pendingTransfers.delete(name);
+        expiresAt.set(name, clock.mono() + CoreTimings.lease);
+        return result;
       },
     };
   },
--- a/packages/registry/src/lending/burstspec.ts
+++ b/packages/registry/src/lending/burstspec.ts
@@ -1,6 +1,6 @@
 import { Type, type Static } from 'typebox';
 
-/** What a burst asks for: each prompt is generated `samples` times, by a rule that may borrow. */
+/** What a burst asks for: each prompt is generated `samples` times, under a rule that may borrow capacity. */
 export const BurstSpec = Type.Object(
   {
     key: Type.String({ pattern: '^[\\w-]{1,60}$' }),
@@ -16,7 +16,7 @@
     repeats: Type.Integer({
       minimum: 0,
       maximum: 8,
-      description: 'how often a generation that may have run is run again; 0 where it must not be',
+      description: 'how often a generation that may have run is repeated; 0 if it must not be',
     }),
   },
   { additionalProperties: false },
--- a/packages/registry/src/lending/burstwords.ts
+++ b/packages/registry/src/lending/burstwords.ts
@@ -3,18 +3,18 @@
 import { Burst } from './burst.js';
 import { BurstSummary } from './burstsummary.js';
 
-const shut = { additionalProperties: false } as const;
+const strict = { additionalProperties: false } as const;
 
-/** The forms of reading bursts at the tail. */
-export const BurstWords = {
-  read: Type.Object({ key: Type.Optional(Type.String()), texts: Type.Optional(Type.Boolean()) }, shut),
-  told: Type.Object(
+/** Schemas for reading bursts from the tail. */
+export const BurstMessages = {
+  readRequest: Type.Object({ key: Type.Optional(Type.String()), texts: Type.Optional(Type.Boolean()) }, strict),
+  readReply: Type.Object(
     {
       ok: Type.Boolean(),
       view: Type.Union([View, Type.Null()]),
-      list: Type.Array(BurstSummary.form),
+      list: Type.Array(BurstSummary.schema),
       burst: Type.Union([Burst, Type.Null()]),
     },
-    shut,
+    strict,
   ),
 };
--- a/packages/registry/src/lending/loan.ts
+++ b/packages/registry/src/lending/loan.ts
@@ -1,9 +1,10 @@
 import { Type, type Static } from 'typebox';
 
 /**
- * What of one server is lent: the body of the shared doc `loan:<server>`, under the fence of that server's row.
- * Invariants: written only by the holder of the row's lease; `slots` is 0 once it is given back, revoked or lapsed. It
- * tells of a loan; the loan itself is the lease that its holder was given, and ends with that.
+ * How much of one server is lent: the body of the shared document `loan:<server>`, under the fence of that server's
+ * row. Invariants: written only by the holder of the row's lease; `slots` is 0 once the loan is returned, revoked or
+ * expired. The document only describes the loan; the loan itself is the lease given to its holder, and ends with that
+ * lease.
  */
 export const Loan = Type.Object(
   {
@@ -11,8 +12,8 @@
     born: Type.String(),
     part: Type.Union([Type.Literal('prefill'), Type.Literal('decode')]),
     slots: Type.Integer({ minimum: 0 }),
-    holder: Type.String({ description: 'the daemon that borrows' }),
-    burst: Type.String({ description: 'the first of the bursts that it borrows for' }),
+    holder: Type.String({ description: 'the daemon that borrows the slots' }),
+    burst: Type.String({ description: 'the first of the bursts that the loan is for' }),
     why: Type.Union([
       Type.Literal('lent'),
       Type.Literal('live'),
@@ -21,7 +22,7 @@
       Type.Literal('lapsed'),
     ]),
     by: Type.String(),
-    since: Type.Number({ description: 'by the wall clock of the lender, to read only' }),
+    since: Type.Number({ description: 'wall-clock time of the lender, for display only' }),
   },
   { additionalProperties: false },
 );
--- a/packages/registry/src/membership/failuredetector.ts
+++ b/packages/registry/src/membership/failuredetector.ts
@@ -7,97 +7,118 @@
 import { Views } from '../consensus/views.js';
 import type { Voter } from '../consensus/voter.js';
 
-/** Lives of core daemons that are remembered, and for how long after their last word. */
-const LIVES = 64;
-const KEEP = 60_000;
-type Heard = { at: number; sick: boolean; fresh: boolean; epoch: number; me: Member };
+/** Member incarnations that are remembered, and for how long after their last heartbeat. */
+const MAX_MEMBERS = 64;
+const MEMBER_TTL_MS = 60_000;
+/** The last heartbeat of a member; `fresh` says whether it holds the head's state of its view. */
+type Heartbeat = { at: number; sick: boolean; fresh: boolean; epoch: number; me: Member };
 
 /**
- * Beats between core daemons: who is there, and the lease that lets a chain member speak for the view.
- * Invariant: `live()` is true only while a majority of voters each granted a lease, counted from before it was
- * asked for.
+ * Heartbeats between control replicas: which members are alive, and the lease that lets a chain member act for the
+ * view. Invariant: `holdsLease()` is true only while a majority of the voters have each granted a lease, counted from
+ * before it was requested.
  */
 export const FailureDetector = {
   make(world: World, post: PostBox, me: () => Member, addresses: AddressBook, voter: Voter) {
-    const heard = Fading.make<Heard>(world.clock.mono, LIVES);
-    const grants = new Map<string, number>();
-    const key = (m: Member): string => `${m.id}/${m.born}`;
+    const heartbeats = Fading.make<Heartbeat>(world.clock.mono, MAX_MEMBERS);
+    const leaseEnds = new Map<string, number>();
+    const identityKey = (m: Member): string => `${m.id}/${m.born}`;
     const now = (): number => world.clock.mono();
-    const seen = (m: Member, h: Omit<Heard, 'at' | 'me'>): void => {
-      heard.set(key(m), { ...h, me: m, at: now() }, KEEP);
+    const recordHeartbeat = (member: Member, heartbeat: Omit<Heartbeat, 'at' | 'me'>): void => {
+      heartbeats.set(identityKey(member), { ...heartbeat, me: member, at: now() }, MEMBER_TTL_MS);
     };
-    let since = now();
-    let slept = 0;
-    let eras = 0;
-    let best: View | null = null;
-    const asking = new Set<string>();
-    const empty = Fading.make<boolean>(world.clock.mono, LIVES);
-    /** When the first beat went out of those that a member has not replied to since its last reply. */
-    const vain = new Map<string, number>();
+    let viewStartedAt = now();
+    let sleeps = 0;
+    let resets = 0;
+    let newestView: View | null = null;
+    const awaitingReply = new Set<string>();
+    const lostDisks = Fading.make<boolean>(world.clock.mono, MAX_MEMBERS);
+    /** When the first heartbeat was sent of those that a member has not answered since its last reply. */
+    const unansweredSince = new Map<string, number>();
     const awake = Awake.make(world.clock, () => {
-      grants.clear();
-      vain.clear();
-      slept++;
+      leaseEnds.clear();
+      unansweredSince.clear();
+      sleeps++;
     });
 
     return {
-      seen,
-      heard: (m: Member): Heard | undefined => heard.get(key(m)),
-      /** Silence, counted from the view's start for one never heard in it. */
-      silent: (m: Member): number => now() - Math.max(heard.get(key(m))?.at ?? 0, since),
-      /** For how long it has replied to no beat, however much of it is heard. */
-      deaf: (m: Member): number => now() - (vain.get(key(m)) ?? now()),
-      /** Whether its place was found taken by one of the same id and another life: so it is no more. */
-      emptied: (m: Member): boolean => empty.get(key(m)) === true,
-      /** Lays down all leases, those still on their way too. */
-      rest(): void {
-        grants.clear();
-        eras++;
+      recordHeartbeat,
+      lastHeartbeat: (member: Member): Heartbeat | undefined => heartbeats.get(identityKey(member)),
+      /** Time since a member's last heartbeat, or since the view began if there was none in it. */
+      silentForMs: (member: Member): number =>
+        now() - Math.max(heartbeats.get(identityKey(member))?.at ?? 0, viewStartedAt),
+      /** How long a member has answered no heartbeat, even if its own heartbeats arrive. */
+      unansweredForMs: (member: Member): number => now() - (unansweredSince.get(identityKey(member)) ?? now()),
+      /**
+       * Whether another incarnation with the same id was found at the member's address, so this incarnation and its
+       * disk are gone.
+       */
+      hasLostDisk: (member: Member): boolean => lostDisks.get(identityKey(member)) === true,
+      /** Releases all leases, and ignores grants that were requested before. */
+      releaseLeases(): void {
+        leaseEnds.clear();
+        resets++;
       },
+      /** Starts over for a new view: drops leases and unanswered heartbeats. */
       reset(): void {
-        grants.clear();
-        vain.clear();
-        eras++;
-        since = now();
+        leaseEnds.clear();
+        unansweredSince.clear();
+        resets++;
+        viewStartedAt = now();
       },
-      live(view: View | null): boolean {
+      holdsLease(view: View | null): boolean {
         awake.look();
         if (!view || Views.place(view, me()) < 0) return false;
-        const n = view.voters.filter((m) => (grants.get(key(m)) ?? 0) > now()).length;
-        return n > view.voters.length / 2;
+        const grantCount = view.voters.filter((m) => (leaseEnds.get(identityKey(m)) ?? 0) > now()).length;
+        return grantCount > view.voters.length / 2;
       },
-      /** One beat to every other member that has replied to the last; gives back the newest view met so far. */
-      async beat(view: View, self: { sick: boolean; fresh: boolean }): Promise<View | null> {
+      /**
+       * Sends one heartbeat to every other member that has answered the last one; returns the newest view seen so far.
+       */
+      async sendHeartbeats(view: View, self: { sick: boolean; fresh: boolean }): Promise<View | null> {
         awake.look();
-        const at = now(),
-          before = slept,
-          era = eras,
-          inside = Views.place(view, me()) >= 0;
-        if (inside && Views.votes(view, me()) && voter.grant(view.epoch, CoreTimings.hold, me()))
-          grants.set(key(me()), at + CoreTimings.hold);
-        const ask = async (m: Member): Promise<void> => {
+        const sentAt = now(),
+          sleepsBefore = sleeps,
+          resetsBefore = resets,
+          isInChain = Views.place(view, me()) >= 0;
+        if (isInChain && Views.votes(view, me()) && voter.grantLease(view.epoch, CoreTimings.viewLeaseMs, me()))
+          leaseEnds.set(identityKey(me()), sentAt + CoreTimings.viewLeaseMs);
+        const sendHeartbeat = async (member: Member): Promise<void> => {
           const body = { me: me(), epoch: view.epoch, ...self };
-          const r = await post.ask(addresses.of(m), m.id, 'core.beat', body, CoreMessages.beaten, CoreTimings.ask);
-          asking.delete(key(m));
+          const reply = await post.ask(
+            addresses.addressOf(member),
+            member.id,
+            'core.beat',
+            body,
+            CoreMessages.heartbeatReply,
+            CoreTimings.requestTimeoutMs,
+          );
+          awaitingReply.delete(identityKey(member));
           awake.look();
-          if (!r.ok) void addresses.search(view);
-          if (slept !== before) return;
-          if (r.ok) vain.delete(key(m));
-          else if (era === eras && !vain.has(key(m))) vain.set(key(m), at);
-          if (!r.ok) return;
-          if (r.val.me.id === m.id && r.val.me.born !== m.born) empty.set(key(m), true, KEEP);
-          if (!Views.same(r.val.me, m)) return;
-          seen(m, { sick: r.val.sick, fresh: r.val.fresh, epoch: r.val.view?.epoch ?? 0 });
-          if (r.val.claim && Views.votes(view, m) && era === eras) grants.set(key(m), at + CoreTimings.hold);
-          if (r.val.view && r.val.view.epoch > (best?.epoch ?? 0)) best = r.val.view;
+          if (!reply.ok) void addresses.search(view);
+          if (sleeps !== sleepsBefore) return;
+          if (reply.ok) unansweredSince.delete(identityKey(member));
+          else if (resetsBefore === resets && !unansweredSince.has(identityKey(member)))
+            unansweredSince.set(identityKey(member), sentAt);
+          if (!reply.ok) return;
+          if (reply.val.me.id === member.id && reply.val.me.born !== member.born)
+            lostDisks.set(identityKey(member), true, MEMBER_TTL_MS);
+          if (!Views.same(reply.val.me, member)) return;
+          recordHeartbeat(member, { sick: reply.val.sick, fresh: reply.val.fresh, epoch: reply.val.view?.epoch ?? 0 });
+          if (reply.val.claim && Views.votes(view, member) && resetsBefore === resets)
+            leaseEnds.set(identityKey(member), sentAt + CoreTimings.viewLeaseMs);
+          if (reply.val.view && reply.val.view.epoch > (newestView?.epoch ?? 0)) newestView = reply.val.view;
         };
-        const due = Views.all(view).filter((m) => !Views.same(m, me()) && !asking.has(key(m)));
-        for (const m of due) asking.add(key(m));
-        await Promise.race([Promise.all(due.map(ask)), Timer.nap(world.clock, CoreTimings.beat)]);
-        return best;
+        const targets = Views.all(view).filter((m) => !Views.same(m, me()) && !awaitingReply.has(identityKey(m)));
+        for (const m of targets) awaitingReply.add(identityKey(m));
+        await Promise.race([
+          Promise.all(targets.map(sendHeartbeat)),
+          Timer.nap(world.clock, CoreTimings.heartbeatIntervalMs),
+        ]);
+        return newestView;
       },
     };
   },
 };
-/** A failure detector as its users see it. */
+/** A failure detector as its callers see it. */
 export type FailureDetector = ReturnType<typeof FailureDetector.make>;
--- a/packages/registry/src/membership/livedaemons.ts
+++ b/packages/registry/src/membership/livedaemons.ts
@@ -2,42 +2,53 @@
 import { CoreTimings } from '../coretimings.js';
 
 type Load = { read: number; write: number };
-type Seen = { who: Ident; at: number; version: number; sum: string; load: Load };
+type Entry = { who: Ident; lastSeenAt: number; version: number; sum: string; load: Load };
 
 /**
- * Who is live, as the head has heard. Soft: lost with the head and learnt again.
- * Invariant: a roster is given out only once the head has listened for longer than a silence that drops a daemon.
+ * Daemons that checked in with the head. Soft state: lost with the head and rebuilt from check-ins. Invariant: a roster
+ * is returned only once the head has listened for longer than the silence after which a daemon is dropped.
  */
 export const LiveDaemons = {
   make(clock: Clock) {
-    let seen: ReadonlyMap<string, Seen> = new Map();
-    let since = clock.mono();
-    const live = (): Seen[] => [...seen.values()].filter((s) => clock.mono() - s.at < CoreTimings.gone);
+    let entries: ReadonlyMap<string, Entry> = new Map();
+    let listeningSince = clock.mono();
+    const liveEntries = (): Entry[] =>
+      [...entries.values()].filter((s) => clock.mono() - s.lastSeenAt < CoreTimings.daemonExpiryMs);
     return {
       reset(): void {
-        seen = new Map();
-        since = clock.mono();
+        entries = new Map();
+        listeningSince = clock.mono();
       },
       note(who: Ident, version: number, sum: string, load: Load): void {
-        const next = new Map(seen);
-        next.set(who.id, { who, version, sum, load, at: clock.mono() });
-        seen = next;
+        const next = new Map(entries);
+        next.set(who.id, { who, version, sum, load, lastSeenAt: clock.mono() });
+        entries = next;
       },
-      leave(id: string): void {
-        const next = new Map(seen);
+      remove(id: string): void {
+        const next = new Map(entries);
         next.delete(id);
-        seen = next;
+        entries = next;
       },
+      /** The live daemons by id; null while the head has not listened long enough. */
       roster: (): Ident[] | null =>
-        clock.mono() - since < CoreTimings.gone
+        clock.mono() - listeningSince < CoreTimings.daemonExpiryMs
           ? null
-          : live()
+          : liveEntries()
               .map((s) => s.who)
               .sort((a, b) => (a.id < b.id ? -1 : 1)),
       load: (): Load =>
-        live().reduce((a, s) => ({ read: a.read + s.load.read, write: a.write + s.load.write }), { read: 0, write: 0 }),
-      all: () =>
-        [...seen.values()].map((s) => ({ who: s.who, version: s.version, sum: s.sum, age: clock.mono() - s.at })),
+        liveEntries().reduce((a, s) => ({ read: a.read + s.load.read, write: a.write + s.load.write }), {
+          read: 0,
+          write: 0,
+        }),
+      /** Every daemon that has checked in, live or not, with the time since its last check-in. */
+      withAges: () =>
+        [...entries.values()].map((s) => ({
+          who: s.who,
+          version: s.version,
+          sum: s.sum,
+          age: clock.mono() - s.lastSeenAt,
+        })),
     };
   },
 };
--- a/packages/registry/src/state/statechange.ts
+++ b/packages/registry/src/state/statechange.ts
@@ -5,29 +5,29 @@
 import { CoreState } from './corestate.js';
 import { Plan } from './plan.js';
 
-const shut = { additionalProperties: false } as const;
-const version = { seq: Type.Integer({ minimum: 0 }), digest: Type.String() };
+const strict = { additionalProperties: false } as const;
+const versionKeys = { seq: Type.Integer({ minimum: 0 }), digest: Type.String() };
 
 /**
- * What one version of the core's state is changed by to become another. Invariant: it applies to the version named by
- * `base` and to no other, and what comes out must have the digest of `result`.
+ * The change from one version of the replicated state to another. Invariant: it applies only to the version named by
+ * `base`, and the outcome must have the digest in `result`.
  */
 export const StateChange = Type.Object(
   {
-    base: Type.Object(version, shut),
-    result: Type.Object(version, shut),
+    base: Type.Object(versionKeys, strict),
+    result: Type.Object(versionKeys, strict),
     charter: Type.Optional(
       Type.Union([
         Type.Null(),
-        Type.Object({ version: Type.Integer({ minimum: 1 }), plan: Type.String(), body: Intent }, shut),
-        Type.Object({ version: Type.Integer({ minimum: 1 }), plan: Type.String(), part: DocPart }, shut),
+        Type.Object({ version: Type.Integer({ minimum: 1 }), plan: Type.String(), body: Intent }, strict),
+        Type.Object({ version: Type.Integer({ minimum: 1 }), plan: Type.String(), part: DocPart }, strict),
       ]),
     ),
-    forgotten: Type.Array(Type.String(), { description: 'plans of the base that are no longer there, or have moved' }),
-    plans: Type.Array(Plan, { description: 'plans that come after those kept' }),
+    forgotten: Type.Array(Type.String(), { description: 'plans of the base that were dropped or have moved' }),
+    plans: Type.Array(Plan, { description: 'plans that follow the retained ones' }),
     claims: CoreState.properties.claims,
     bursts: Type.Optional(Type.Array(Burst)),
   },
-  shut,
+  strict,
 );
 export type StateChange = Static<typeof StateChange>;
--- a/packages/registry/src/state/store.ts
+++ b/packages/registry/src/state/store.ts
@@ -5,89 +5,96 @@
 import { View } from '../consensus/view.js';
 import { Vote } from '../consensus/vote.js';
 
-const Self = Type.Object({ born: Type.String(), whole: Type.Optional(Type.Boolean()) });
-const FORMS = [
-  ['self', Self],
+const IdentitySchema = Type.Object({ born: Type.String(), whole: Type.Optional(Type.Boolean()) });
+const SCHEMAS = [
+  ['self', IdentitySchema],
   ['view', Type.Union([View, Type.Null()])],
   ['vote', Type.Union([Vote, Type.Null()])],
   ['state', CoreState],
 ] as const;
-type Kept = { born: string | null; view: View | null; vote: Vote | null; state: CoreState; bad: boolean };
+type Restored = { born: string | null; view: View | null; vote: Vote | null; state: CoreState; bad: boolean };
 
-/** Whether a kind is missing. Folders of the release before this one did not begin with a file of each. */
-const short = (self: Static<typeof Self> | undefined, got: ReadonlyMap<string, unknown>): boolean =>
-  self ? self.whole === true && got.size < FORMS.length : got.size > 0;
+/** Whether a file kind is missing. Data folders of the previous release did not start with one file of each kind. */
+const isIncomplete = (
+  self: Static<typeof IdentitySchema> | undefined,
+  loaded: ReadonlyMap<string, unknown>,
+): boolean => (self ? self.whole === true && loaded.size < SCHEMAS.length : loaded.size > 0);
 
 /**
- * What a core daemon has on disk. Invariants: each kind's file number only rises, whatever the version inside;
- * `self` is written last, once there is a file of every other kind. So a daemon that finds a file damaged, or one
- * of a kind missing, has lost something that it may have said: it sets all aside and is nobody it was before.
+ * The files of a control replica. Invariants: the file number of each kind only rises, whatever the version inside;
+ * `self` is written last, once a file of every other kind exists. So a daemon that finds a damaged or missing file has
+ * lost something that it may have told others: it sets all files aside and starts with a new incarnation.
  */
 export const Store = {
   make(world: World, disk: Disk) {
-    const next = new Map<string, number>();
-    const started = new Map<number, number>();
-    let jobs = 0;
-    const put = async (kind: string, v: unknown): Promise<Result<void, string>> => {
-      const n = (next.get(kind) ?? 0) + 1,
-        job = ++jobs;
-      next.set(kind, n);
-      const from = world.clock.mono();
-      started.set(job, from);
-      const done = await disk.put(kind, n, v);
-      started.delete(job);
-      world.tell({ what: 'stored', kind, ms: world.clock.mono() - from, done: done.ok });
-      return done;
+    const fileNumbers = new Map<string, number>();
+    const pendingWrites = new Map<number, number>();
+    let writeCount = 0;
+    const put = async (kind: string, value: unknown): Promise<Result<void, string>> => {
+      const fileNumber = (fileNumbers.get(kind) ?? 0) + 1,
+        writeId = ++writeCount;
+      fileNumbers.set(kind, fileNumber);
+      const startedAt = world.clock.mono();
+      pendingWrites.set(writeId, startedAt);
+      const result = await disk.put(kind, fileNumber, value);
+      pendingWrites.delete(writeId);
+      world.tell({ what: 'stored', kind, ms: world.clock.mono() - startedAt, done: result.ok });
+      return result;
     };
     return {
       put,
-      /** How long the longest write under way has taken. */
-      stalled(): number {
-        const at = Math.min(...started.values());
-        return started.size === 0 ? 0 : world.clock.mono() - at;
+      /** How long the oldest pending write has taken, in ms. */
+      longestPendingWriteMs(): number {
+        const oldestStart = Math.min(...pendingWrites.values());
+        return pendingWrites.size === 0 ? 0 : world.clock.mono() - oldestStart;
       },
-      /** Reads what is kept; sets it all aside unless it is whole. */
-      async load(): Promise<Result<Kept, string>> {
-        const got = new Map<string, unknown>();
+      /** Loads all files; sets them all aside if any is damaged or missing. */
+      async load(): Promise<Result<Restored, string>> {
+        const loaded = new Map<string, unknown>();
         let bad = false;
-        for (const [kind, form] of FORMS) {
+        for (const [kind, schema] of SCHEMAS) {
           const file = await disk.last(kind);
           if (file.err) return Err(file.val);
           if (file.val === null) continue;
-          next.set(kind, file.val.n);
-          const seen = Check.parse(form, file.val.v);
-          if (file.val.bad || seen.err) bad = true;
-          else got.set(kind, seen.val);
+          fileNumbers.set(kind, file.val.n);
+          const parsed = Check.parse(schema, file.val.v);
+          if (file.val.bad || parsed.err) bad = true;
+          else loaded.set(kind, parsed.val);
         }
-        const self = got.get('self') as Static<typeof Self> | undefined;
-        if (bad || short(self, got)) {
-          const done = await disk.aside();
-          return done.err ? Err(done.val) : Ok({ born: null, view: null, vote: null, state: Apply.empty, bad: true });
+        const self = loaded.get('self') as Static<typeof IdentitySchema> | undefined;
+        if (bad || isIncomplete(self, loaded)) {
+          const result = await disk.aside();
+          return result.err
+            ? Err(result.val)
+            : Ok({ born: null, view: null, vote: null, state: Apply.empty, bad: true });
         }
         return Ok({
           born: self?.born ?? null,
-          view: (got.get('view') as View | null | undefined) ?? null,
-          vote: (got.get('vote') as Vote | null | undefined) ?? null,
-          state: (got.get('state') as CoreState | undefined) ?? Apply.empty,
+          view: (loaded.get('view') as View | null | undefined) ?? null,
+          vote: (loaded.get('vote') as Vote | null | undefined) ?? null,
+          state: (loaded.get('state') as CoreState | undefined) ?? Apply.empty,
           bad: false,
         });
       },
-      /** Says who this daemon is. Invariant: not before there is a file of every other kind. */
-      async name(born: string, fresh: boolean): Promise<Result<void, string>> {
-        for (const [kind, v] of fresh
+      /**
+       * Records the identity of this daemon. Invariant: called only once a file of every other kind exists, or with
+       * `isNew`, which writes those first.
+       */
+      async saveIdentity(incarnation: string, isNew: boolean): Promise<Result<void, string>> {
+        for (const [kind, value] of isNew
           ? ([
               ['view', null],
               ['vote', null],
               ['state', Apply.empty],
             ] as const)
           : []) {
-          const done = await put(kind, v);
-          if (done.err) return done;
+          const result = await put(kind, value);
+          if (result.err) return result;
         }
-        return put('self', { born, whole: true });
+        return put('self', { born: incarnation, whole: true });
       },
     };
   },
 };
-/** A store as its users see it. */
+/** A store as its callers see it. */
 export type Store = ReturnType<typeof Store.make>;
