--- a/packages/counter/src/back.ts
+++ b/packages/counter/src/back.ts
@@ -12,14 +12,14 @@
   prefill(
     addr: string,
     job: RequestJob & Bound & { prefix: string; part: string; weight: number },
-    ms: number,
+    timeoutMs: number,
   ): Promise<Result<Handle, BackFault>>;
   decode(
     addr: string,
     job: RequestJob & Bound & { handle: Handle; pieces: number; weight: number },
-    ms: number,
-    take: (p: Piece) => boolean,
+    timeoutMs: number,
+    onLine: (line: Piece) => boolean,
   ): Promise<Result<null, BackFault>>;
-  order(addr: string, slip: OrderSlip, ms: number): Promise<Result<BackState, BackFault>>;
-  state(addr: string, ms: number): Promise<Result<BackState, BackFault>>;
+  order(addr: string, order: OrderSlip, timeoutMs: number): Promise<Result<BackState, BackFault>>;
+  state(addr: string, timeoutMs: number): Promise<Result<BackState, BackFault>>;
 };
--- a/packages/counter/src/bodyreader.ts
+++ b/packages/counter/src/bodyreader.ts
@@ -4,19 +4,19 @@
 
 /** Reads a reply's body as JSON. Invariant: no more than `most` bytes are ever held, whatever the other side sends. */
 export const BodyReader = {
-  async json(body: Body, most: number): Promise<Result<unknown, 'large' | 'json'>> {
-    const bits: Buffer[] = [];
+  async json(body: Body, maxBytes: number): Promise<Result<unknown, 'large' | 'json'>> {
+    const chunks: Buffer[] = [];
     let size = 0;
-    for await (const bit of body) {
-      size += bit.length;
-      if (size > most) {
+    for await (const chunk of body) {
+      size += chunk.length;
+      if (size > maxBytes) {
         body.destroy();
         return Err('large');
       }
-      bits.push(bit);
+      chunks.push(chunk);
     }
     try {
-      return Ok(JSON.parse(Buffer.concat(bits).toString('utf8')) as unknown);
+      return Ok(JSON.parse(Buffer.concat(chunks).toString('utf8')) as unknown);
     } catch {
       return Err('json');
     }
--- a/packages/counter/src/callersink.ts
+++ b/packages/counter/src/callersink.ts
@@ -7,7 +7,7 @@
 export type CallerSink = {
   piece(n: number, text: string): void;
   end(count: number, digest: string): void;
-  cut(v: Verdict): void;
-  refuse(v: Verdict): void;
+  cut(verdict: Verdict): void;
+  refuse(verdict: Verdict): void;
   gone(): boolean;
 };
--- a/packages/counter/src/counter.ts
+++ b/packages/counter/src/counter.ts
@@ -12,16 +12,16 @@
 import { Duty } from './duty.js';
 import { Admission } from './admission.js';
 import { Hails } from './hails.js';
-import { Hearing } from './hearing.js';
+import { RecordChangeHandler } from './hearing.js';
 import { Ledger } from './ledger.js';
-import { LedgerDesk } from './ledgerdesk.js';
+import { LedgerHandler } from './ledgerdesk.js';
 import { Lending } from './lending/lending.js';
 import { Loads } from './loads.js';
 import { Met } from './met.js';
 import { Mixer } from './mixer.js';
 import { Newest } from './newest.js';
-import { Pump } from './pump.js';
-import { Run } from './run.js';
+import { TurnGranter } from './pump.js';
+import { RequestRunner } from './run.js';
 import { Choice } from './choice.js';
 import { Sheet } from './sheet.js';
 import { Shuns } from './shuns.js';
@@ -32,18 +32,18 @@
 import { RequestDesk } from './requestdesk.js';
 import { RequestDiary } from './requestdiary.js';
 import { Queue } from './queue.js';
-import { Witness } from './witness.js';
+import { LedgerClient } from './witness.js';
 
 /** Extra tries: so many a request, and so many saved at the most. */
-const RATE = 0.2;
-const CAP = 3;
+const RETRY_TOKENS_PER_REQUEST = 0.2;
+const MAX_RETRY_TOKENS = 3;
 
 /** A counter daemon put together: purge, ledger, casting and the requests' path. */
 export const Counter = {
-  make(outer: World, settings: CounterSettings, back: Back, town: Town) {
-    const { clock } = outer;
-    const diary = RequestDiary.make(clock),
-      world = diary.listen(outer);
+  make(outerWorld: World, settings: CounterSettings, modelServers: Back, inventorySource: Town) {
+    const { clock } = outerWorld;
+    const requestLog = RequestDiary.make(clock),
+      world = requestLog.listen(outerWorld);
     const log = world.log('counter');
     const ident: Ident = {
       id: settings.id,
@@ -53,194 +53,194 @@
       role: 'counter',
     };
     const self = (): Ident => ident;
-    const life = interpret(DaemonLife, () => undefined);
-    const is = (): string => life.machine.current,
-      serving = (): boolean => is() === 'serving';
+    const stateMachine = interpret(DaemonLife, () => undefined);
+    const lifecycleState = (): string => stateMachine.machine.current,
+      serving = (): boolean => lifecycleState() === 'serving';
     const post = Post.make(world, self);
-    const shelf = Shelf.make(RecordCheck.doc);
+    const recordStore = Shelf.make(RecordCheck.doc);
     const seeds = (): readonly string[] => settings.seeds;
-    const purge = Purge.make(world, post, self, shelf, settings.tunes, seeds, (): readonly Ident[] => [
-      ...Views.idents(line.view()),
+    const purge = Purge.make(world, post, self, recordStore, settings.tunes, seeds, (): readonly Ident[] => [
+      ...Views.idents(controlClient.view()),
       ...checkin.roster(),
     ]);
-    const line = ControlClient.make(world, post, () => [...seeds(), ...purge.peers().map((p) => p.addr)]);
-    const sheet = Sheet.make(shelf);
-    let certain = false;
-    const known = (): readonly Ident[] => {
+    const controlClient = ControlClient.make(world, post, () => [...seeds(), ...purge.peers().map((p) => p.addr)]);
+    const fleetRecords = Sheet.make(recordStore);
+    let confirmedNewest = false;
+    const knownDaemons = (): readonly Ident[] => {
       const all = new Map(
         [...purge.peers().filter((p) => p.role === 'counter'), ...checkin.roster(), ident].map((p) => [p.id, p]),
       );
       return [...all.values()];
     };
-    const crew = (): readonly Ident[] => (checkin.roster().some((r) => r.id === ident.id) ? checkin.roster() : known());
-    const watch = TownWatch.make(
+    const liveDaemons = (): readonly Ident[] => (checkin.roster().some((r) => r.id === ident.id) ? checkin.roster() : knownDaemons());
+    const inventory = TownWatch.make(
       world,
       post,
-      town,
-      () => known().filter((p) => p.id !== ident.id),
-      () => awake.look(),
+      inventorySource,
+      () => knownDaemons().filter((p) => p.id !== ident.id),
+      () => suspendDetector.look(),
     );
     const ledger = Ledger.make(clock);
-    LedgerDesk.make(post, ledger, self);
+    LedgerHandler.make(post, ledger, self);
     const loads = Loads.make(),
-      shuns = Shuns.make(clock),
+      ejections = Shuns.make(clock),
       queue = Queue.make(clock),
-      hands = Queue.make(clock);
-    const hails = Hails.make(
+      decodeQueue = Queue.make(clock);
+    const serverClocks = Hails.make(
       clock,
-      back,
-      () => watch.all(),
-      () => awake.look(),
+      modelServers,
+      () => inventory.all(),
+      () => suspendDetector.look(),
     );
-    const choice = Choice.make({ hails, sheet, town: watch, loads, shuns, roster: crew });
+    const serverPicker = Choice.make({ hails: serverClocks, sheet: fleetRecords, town: inventory, loads, shuns: ejections, roster: liveDaemons });
     const demand = { read: 0, write: 0 };
     /** Requests at admission are wanting for readers only if it is the readers that have no room. */
     const demandNow = () => ({
-      read: demand.read + (choice.roomy('prefill', { weight: 1 }, '*turn') ? 0 : queue.weight()),
+      read: demand.read + (serverPicker.roomy('prefill', { weight: 1 }, '*turn') ? 0 : queue.weight()),
       write: demand.write,
     });
-    const newest = Newest.make({ world, post, line, purge, shelf, self, known, slept: () => awake.slept() });
-    const checkin = Checkin.make({ clock, line, sheet, shelf, newest, demand: demandNow });
-    const awake = Awake.make(clock, () => {
-      duty.drop();
-      watch.drop();
-      hails.drop();
+    const catchUp = Newest.make({ world, post, line: controlClient, purge, shelf: recordStore, self, known: knownDaemons, slept: () => suspendDetector.slept() });
+    const checkin = Checkin.make({ clock, line: controlClient, sheet: fleetRecords, shelf: recordStore, newest: catchUp, demand: demandNow });
+    const suspendDetector = Awake.make(clock, () => {
+      leases.drop();
+      inventory.drop();
+      serverClocks.drop();
       lending.drop();
-      certain = false;
-      if (is() !== 'serving') return;
+      confirmedNewest = false;
+      if (lifecycleState() !== 'serving') return;
       log.warn('This daemon slept. Asking for the newest charter.');
       world.tell({ what: 'woke' });
-      life.send('woke');
-      void ask();
+      stateMachine.send('woke');
+      void becomeServing();
     });
-    const shut = (): Verdict | null => {
-      awake.look();
-      if (is() === 'serving') return null;
+    const admissionRefusal = (): Verdict | null => {
+      suspendDetector.look();
+      if (lifecycleState() === 'serving') return null;
       return Verdicts.not(
-        is() === 'asking' ? 'asking' : 'leaving',
-        is() === 'asking' ? 'This daemon is learning the newest charter.' : 'This daemon is leaving.',
+        lifecycleState() === 'asking' ? 'asking' : 'leaving',
+        lifecycleState() === 'asking' ? 'This daemon is learning the newest charter.' : 'This daemon is leaving.',
         1,
       );
     };
-    const door = { site: ident.site, charter: sheet.charter, open: shut, young: watch.young };
-    const admission = Admission.make({ ...door, queue, choice, loads });
-    const pump = Pump.make({ clock, queue, hands, admission, choice, loads, serving });
-    const duty = Duty.make(world, line, self, crew, () => awake.look());
-    const sights = Sights.make({ world, shelf, sheet, shuns, purge, town: watch, self: ident.id });
-    const shared = { world, sheet, town: watch, hails, duty, purge, back, self: (): string => ident.id };
-    const casting = Casting.make({ ...shared, suspect: (s) => shuns.has(s.id, s.born) });
-    const mixer = Mixer.make({ ...shared, load: () => checkin.load() });
-    const witness = Witness.make(world, post, crew, known);
-    const bucket = Bucket.make(RATE, CAP);
+    const admissionInputs = { site: ident.site, charter: fleetRecords.charter, open: admissionRefusal, young: inventory.young };
+    const admission = Admission.make({ ...admissionInputs, queue, choice: serverPicker, loads });
+    const grantTurns = TurnGranter.make({ clock, queue, decodeQueue, admission, choice: serverPicker, loads, serving });
+    const leases = Duty.make(world, controlClient, self, liveDaemons, () => suspendDetector.look());
+    const failureReports = Sights.make({ world, shelf: recordStore, sheet: fleetRecords, shuns: ejections, purge, town: inventory, self: ident.id });
+    const stageInputs = { world, sheet: fleetRecords, town: inventory, hails: serverClocks, duty: leases, purge, back: modelServers, self: (): string => ident.id };
+    const stageAssigner = Casting.make({ ...stageInputs, suspect: (s) => ejections.has(s.id, s.born) });
+    const stageBalancer = Mixer.make({ ...stageInputs, load: () => checkin.load() });
+    const ledgerClient = LedgerClient.make(world, post, liveDaemons, knownDaemons);
+    const retryBudget = Bucket.make(RETRY_TOKENS_PER_REQUEST, MAX_RETRY_TOKENS);
     /** A daemon that has just started, or slept, may hold an older charter than it once did. */
-    const sure = (): boolean => {
-      awake.look();
-      return certain;
+    const isConfirmedNewest = (): boolean => {
+      suspendDetector.look();
+      return confirmedNewest;
     };
-    const lists = { queue, hands, choice, loads };
-    const tools = { ...shared, ...lists, admission, witness, bucket, sighted: sights.saw, pump, demand };
-    const wanted: typeof hands.enter = (rule, due) => {
-      lending.handed(rule);
-      return hands.enter(rule, due);
+    const queues = { queue, decodeQueue, choice: serverPicker, loads };
+    const runnerInputs = { ...stageInputs, ...queues, admission, witness: ledgerClient, retryBudget, sighted: failureReports.saw, grantTurns, demand };
+    const enterDecodeQueue: typeof decodeQueue.enter = (route, deadline) => {
+      lending.handed(route);
+      return decodeQueue.enter(route, deadline);
     };
-    const request = Run.make({ ...tools, hands: { ...hands, enter: wanted }, version: sheet.version, sure });
-    const seeing = { look: () => awake.look(), load: () => checkin.load(), roster: crew, version: sheet.version, sure };
+    const request = RequestRunner.make({ ...runnerInputs, decodeQueue: { ...decodeQueue, enter: enterDecodeQueue }, version: fleetRecords.version, sure: isConfirmedNewest });
+    const lendingInputs = { look: () => suspendDetector.look(), load: () => checkin.load(), roster: liveDaemons, version: fleetRecords.version, sure: isConfirmedNewest };
     const lending = Lending.make({
-      ...tools,
-      ...door,
-      ...seeing,
+      ...runnerInputs,
+      ...admissionInputs,
+      ...lendingInputs,
       post,
-      line,
-      shelf,
-      waiting: (part) => (part === 'prefill' ? queue : hands).weight(),
+      line: controlClient,
+      shelf: recordStore,
+      waiting: (part) => (part === 'prefill' ? queue : decodeQueue).weight(),
       serving,
     });
-    const stops: (() => void)[] = [];
+    const stopTimers: (() => void)[] = [];
 
-    Hearing.make({ log, shelf, pump, casting, shuns, sights });
-    watch.heed(() => {
-      hails.tick();
-      pump();
+    RecordChangeHandler.make({ log, recordStore, grantTurns, stageAssigner, ejections, failureReports });
+    inventory.heed(() => {
+      serverClocks.tick();
+      grantTurns();
     });
-    const ask = async (): Promise<void> => {
-      while (is() === 'asking') {
-        const sure = await newest.sure();
-        if (sure && is() === 'asking') {
-          certain = true;
-          life.send('sure');
+    const becomeServing = async (): Promise<void> => {
+      while (lifecycleState() === 'asking') {
+        const confirmed = await catchUp.sure();
+        if (confirmed && lifecycleState() === 'asking') {
+          confirmedNewest = true;
+          stateMachine.send('sure');
           log.say('Serving.');
-          world.tell({ what: 'serving', version: sheet.version() });
-          pump();
+          world.tell({ what: 'serving', version: fleetRecords.version() });
+          grantTurns();
           return;
         }
         await Timer.nap(clock, 150);
       }
     };
-    const met = Met.make(clock, known);
-    const meet = async (): Promise<void> => {
-      met.tick();
-      if (is() !== 'draining' && is() !== 'stopped') await checkin.tick();
+    const recentDaemons = Met.make(clock, knownDaemons);
+    const checkIn = async (): Promise<void> => {
+      recentDaemons.tick();
+      if (lifecycleState() !== 'draining' && lifecycleState() !== 'stopped') await checkin.tick();
     };
-    TraceDesk.make(post, self, purge, shelf, sure);
-    Introducer.make({ clock: world.clock, post, me: self, view: line.view });
-    RequestDesk.make(post, diary, ledger);
-    const parts = { ident, admission, post, line, purge, shelf, sheet, watch, ledger, duty, shuns, lending };
+    TraceDesk.make(post, self, purge, recordStore, isConfirmedNewest);
+    Introducer.make({ clock: world.clock, post, me: self, view: controlClient.view });
+    RequestDesk.make(post, requestLog, ledger);
+    const components = { ident, admission, post, line: controlClient, purge, shelf: recordStore, sheet: fleetRecords, watch: inventory, ledger, duty: leases, ejections: ejections, lending };
     return {
-      ...parts,
-      ...{ roster: crew, met: met.all, life: is },
-      request(v: Request, sink: CallerSink): Promise<Verdict> {
-        lending.arrived(v.rule);
-        return request(v, sink);
+      ...components,
+      ...{ roster: liveDaemons, met: recentDaemons.all, life: lifecycleState },
+      request(clientRequest: Request, writer: CallerSink): Promise<Verdict> {
+        lending.arrived(clientRequest.rule);
+        return request(clientRequest, writer);
       },
       /** Two lives that a caller may name as the owners of a request. */
       owners: (): string[] =>
         Dice.some(
           world.chance,
-          crew().filter((r) => r.role === 'counter'),
+          liveDaemons().filter((r) => r.role === 'counter'),
           2,
         ).map((r) => `${r.id}/${r.born}`),
       /** The charter's version; null while this daemon can't tell. */
-      version: (): number | null => (sure() ? sheet.version() : null),
+      version: (): number | null => (isConfirmedNewest() ? fleetRecords.version() : null),
       waiting: queue.total,
       under: admission.under,
-      level: bucket.level,
+      level: retryBudget.level,
       start(): void {
-        life.send('begin');
-        awake.start();
+        stateMachine.send('begin');
+        suspendDetector.start();
         purge.start();
-        watch.start();
-        hails.start();
+        inventory.start();
+        serverClocks.start();
         lending.start();
-        void ask();
-        stops.push(Timer.every(clock, 400, meet));
-        stops.push(
+        void becomeServing();
+        stopTimers.push(Timer.every(clock, 400, checkIn));
+        stopTimers.push(
           Timer.every(clock, 300, async () => {
-            if (is() !== 'serving') return;
-            duty.tick([...casting.names(), mixer.name, ...lending.names()]);
-            mixer.tick();
+            if (lifecycleState() !== 'serving') return;
+            leases.tick([...stageAssigner.names(), stageBalancer.name, ...lending.names()]);
+            stageBalancer.tick();
             void lending.tick();
-            await casting.tick();
+            await stageAssigner.tick();
           }),
         );
-        stops.push(Timer.every(clock, 50, pump));
+        stopTimers.push(Timer.every(clock, 50, grantTurns));
       },
       /** Stops letting requests in, lets those under way end, gives up its leases. */
-      async leave(ms: number): Promise<void> {
-        life.send('leave');
+      async leave(graceMs: number): Promise<void> {
+        stateMachine.send('leave');
         log.say('Leaving: no more requests are let in.');
         queue.clear();
-        const end = clock.mono() + ms;
-        await lending.leave(Math.min(end, clock.mono() + ms / 2));
-        await line.leave(duty.names());
-        duty.drop();
-        while (admission.under() > 0 && clock.mono() < end) await Timer.nap(clock, 50);
-        life.send('empty');
+        const deadline = clock.mono() + graceMs;
+        await lending.leave(Math.min(deadline, clock.mono() + graceMs / 2));
+        await controlClient.leave(leases.names());
+        leases.drop();
+        while (admission.under() > 0 && clock.mono() < deadline) await Timer.nap(clock, 50);
+        stateMachine.send('empty');
       },
       stop(): void {
-        for (const s of stops) s();
-        awake.stop();
-        watch.stop();
-        hails.stop();
+        for (const s of stopTimers) s();
+        suspendDetector.stop();
+        inventory.stop();
+        serverClocks.stop();
         lending.stop();
         purge.stop();
         post.close();
--- a/packages/counter/src/dialer.ts
+++ b/packages/counter/src/dialer.ts
@@ -1,38 +1,38 @@
 import type { Socket } from 'node:net';
 import { buildConnector } from 'undici';
 
-const CONNECT = 300;
-const SLACK = 200;
+const CONNECT_TIMEOUT_MS = 300;
+const MAX_OVERRUN_MS = 200;
 
 /**
  * Makes connections, and remembers which errors came of making one: only those prove that nothing was heard.
  * Invariant: a connection that took longer than it may, as one does while this process is frozen, is never used.
  */
 export const Dialer = {
-  make(met: (s: Socket) => void, ms = CONNECT, mono: () => number = () => performance.now()) {
-    const failed = new WeakSet<object>();
-    const dial = buildConnector({ timeout: ms });
-    const connect: buildConnector.connector = (o, done) => {
-      const from = mono();
-      const fail = (e: Error): void => {
-        failed.add(e);
-        done(e, null);
+  make(onConnect: (socket: Socket) => void, timeoutMs = CONNECT_TIMEOUT_MS, mono: () => number = () => performance.now()) {
+    const connectErrors = new WeakSet<object>();
+    const dial = buildConnector({ timeout: timeoutMs });
+    const connect: buildConnector.connector = (options, callback) => {
+      const startedAtMs = mono();
+      const fail = (error: Error): void => {
+        connectErrors.add(error);
+        callback(error, null);
       };
-      dial(o, (e, s) => {
-        if (e) {
-          fail(e);
+      dial(options, (error, connected) => {
+        if (error) {
+          fail(error);
           return;
         }
-        const sock = s;
-        if (mono() - from > ms + SLACK) {
-          sock.destroy();
+        const socket = connected;
+        if (mono() - startedAtMs > timeoutMs + MAX_OVERRUN_MS) {
+          socket.destroy();
           fail(Object.assign(new Error('The connection took too long.'), { code: 'UND_ERR_CONNECT_TIMEOUT' }));
           return;
         }
-        met(sock);
-        done(null, sock);
+        onConnect(socket);
+        callback(null, socket);
       });
     };
-    return { connect, unmade: (e: unknown): boolean => typeof e === 'object' && e !== null && failed.has(e) };
+    return { connect, isConnectError: (error: unknown): boolean => typeof error === 'object' && error !== null && connectErrors.has(error) };
   },
 };
--- a/packages/counter/src/entry.ts
+++ b/packages/counter/src/entry.ts
@@ -3,10 +3,10 @@
  * so a try whose mark was never acknowledged here was never sent by a daemon that needs this owner's word.
  * `state` 'closed' means that try, and every one before it, did not run and will not.
  */
-export type Entry = {
+export type LedgerEntry = {
   digest: string;
   attempt: number;
   state: 'open' | 'sent' | 'closed' | 'ran';
   by: string;
-  at: number;
+  updatedAtMs: number;
 };
--- a/packages/counter/src/front.ts
+++ b/packages/counter/src/front.ts
@@ -6,7 +6,7 @@
 import type { Counting } from './counting.js';
 import { Request } from './request.js';
 
-const STATUS: Record<string, number> = {
+const STATUS_BY_CODE: Record<string, number> = {
   bad: 400,
   json: 400,
   toolarge: 413,
@@ -24,145 +24,145 @@
   stale: 409,
   notlent: 409,
 };
-const MOST = 9 * 1024 * 1024;
+const MAX_REQUEST_BODY_BYTES = 9 * 1024 * 1024;
 /** What is held for a caller that reads slowly, and how long one may take to send a request. */
-const LIMITS = { held: 1024 * 1024, body: 15_000 };
+const LIMITS = { maxBufferedBytes: 1024 * 1024, receiveTimeoutMs: 15_000 };
 
 /** The daemon's HTTP side: requests, health, metrics and, where it is served, control. */
 export const Front = {
-  say(res: ServerResponse, body: { verdict: Verdict }): void {
-    const v = body.verdict,
-      good = v.ran === 'yes' && !['ran'].includes(v.code);
-    const status = good ? 200 : (STATUS[v.code] ?? (v.ran === 'maybe' ? 502 : 503));
+  sendVerdict(res: ServerResponse, body: { verdict: Verdict }): void {
+    const verdict = body.verdict,
+      succeeded = verdict.ran === 'yes' && !['ran'].includes(verdict.code);
+    const status = succeeded ? 200 : (STATUS_BY_CODE[verdict.code] ?? (verdict.ran === 'maybe' ? 502 : 503));
     res.writeHead(status, {
       'content-type': 'application/json',
-      ...(v.after === undefined ? {} : { 'retry-after': String(Math.ceil(v.after)) }),
+      ...(verdict.after === undefined ? {} : { 'retry-after': String(Math.ceil(verdict.after)) }),
     });
     res.end(JSON.stringify(body));
   },
   /** Invariant: what a caller has not read yet is bounded; one that stays behind is torn off, and so knows. */
-  sink(res: ServerResponse, held = LIMITS.held): CallerSink {
-    const line = (v: unknown): void => {
+  responseWriter(res: ServerResponse, maxBufferedBytes = LIMITS.maxBufferedBytes): CallerSink {
+    const writeLine = (value: unknown): void => {
       if (res.destroyed) return;
-      res.write(`${JSON.stringify(v)}\n`);
-      if (res.writableLength > held) res.destroy();
+      res.write(`${JSON.stringify(value)}\n`);
+      if (res.writableLength > maxBufferedBytes) res.destroy();
     };
-    const head = (): void => {
+    const writeHead = (): void => {
       if (!res.headersSent) res.writeHead(200, { 'content-type': 'application/x-ndjson' });
     };
     return {
       piece(n, text) {
-        head();
-        line({ n, text });
+        writeHead();
+        writeLine({ n, text });
       },
       end(count, digest) {
-        head();
-        line({ end: true, count, digest });
+        writeHead();
+        writeLine({ end: true, count, digest });
         res.end();
       },
       cut(verdict) {
-        head();
-        line({ cut: true, verdict });
+        writeHead();
+        writeLine({ cut: true, verdict });
         res.end();
       },
       refuse(verdict) {
-        Front.say(res, { verdict });
+        Front.sendVerdict(res, { verdict });
       },
       gone: () => res.destroyed || res.socket?.destroyed === true,
     };
   },
   async make(
     world: World,
-    d: Counting,
-    control: boolean,
+    daemon: Counting,
+    servesOperatorApi: boolean,
     addr: string,
-    meters: Metering,
+    metrics: Metering,
     limits = LIMITS,
   ): Promise<{ close(): Promise<void> }> {
-    const server = createServer({ connectionsCheckingInterval: limits.body / 3 });
-    server.headersTimeout = limits.body;
-    server.requestTimeout = limits.body;
+    const server = createServer({ connectionsCheckingInterval: limits.receiveTimeoutMs / 3 });
+    server.headersTimeout = limits.receiveTimeoutMs;
+    server.requestTimeout = limits.receiveTimeoutMs;
     const app = polka({ server });
-    const desk = Control.make(world, d);
-    const body = async (req: IncomingMessage, res: ServerResponse): Promise<{ v: unknown } | null> => {
-      const got = await JsonBody.read(req, MOST);
-      if (got.ok) return { v: got.val };
+    const operatorApi = Control.make(world, daemon);
+    const readBody = async (req: IncomingMessage, res: ServerResponse): Promise<{ value: unknown } | null> => {
+      const content = await JsonBody.read(req, MAX_REQUEST_BODY_BYTES);
+      if (content.ok) return { value: content.val };
       // What is still to come of a body that is too large is not read.
-      if (got.val === 'large') res.once('finish', () => req.destroy());
-      Front.say(res, {
+      if (content.val === 'large') res.once('finish', () => req.destroy());
+      Front.sendVerdict(res, {
         verdict: Verdicts.not(
-          got.val === 'large' ? 'toolarge' : 'json',
-          got.val === 'large' ? 'The body is too large.' : 'The body is not JSON in UTF-8.',
+          content.val === 'large' ? 'toolarge' : 'json',
+          content.val === 'large' ? 'The body is too large.' : 'The body is not JSON in UTF-8.',
         ),
       });
       return null;
     };
     app.post('/visit', (req, res) => {
       void (async () => {
-        const got = await body(req, res);
-        if (!got) return;
-        const request = Check.parse(Request, got.v);
+        const parsed = await readBody(req, res);
+        if (!parsed) return;
+        const request = Check.parse(Request, parsed.value);
         if (request.err) {
-          Front.say(res, { verdict: Verdicts.bad(request.val) });
+          Front.sendVerdict(res, { verdict: Verdicts.bad(request.val) });
           return;
         }
-        await d.request(request.val, Front.sink(res, limits.held));
+        await daemon.request(request.val, Front.responseWriter(res, limits.maxBufferedBytes));
       })();
     });
     app.get('/owners', (_req, res) => {
       res.writeHead(200, { 'content-type': 'application/json' });
-      res.end(JSON.stringify({ owners: d.owners() }));
+      res.end(JSON.stringify({ owners: daemon.owners() }));
     });
     app.get('/health', (_req, res) => {
-      const up = d.life() === 'serving';
-      res.writeHead(up ? 200 : 503, { 'content-type': 'application/json' });
-      res.end(JSON.stringify({ life: d.life(), version: d.version(), list: d.watch.young() ? 'young' : 'old' }));
+      const isServing = daemon.life() === 'serving';
+      res.writeHead(isServing ? 200 : 503, { 'content-type': 'application/json' });
+      res.end(JSON.stringify({ life: daemon.life(), version: daemon.version(), list: daemon.watch.young() ? 'young' : 'old' }));
     });
-    WebHost.metrics(app, meters);
-    if (control) {
-      for (const what of ['plan', 'confirm', 'drop'] as const) {
-        app.post(`/${what}`, (req, res) => {
-          void body(req, res).then(async (got) => {
-            if (got) Front.say(res, await desk[what](got.v));
+    WebHost.metrics(app, metrics);
+    if (servesOperatorApi) {
+      for (const operation of ['plan', 'confirm', 'drop'] as const) {
+        app.post(`/${operation}`, (req, res) => {
+          void readBody(req, res).then(async (parsed) => {
+            if (parsed) Front.sendVerdict(res, await operatorApi[operation](parsed.value));
           });
         });
       }
       app.get('/charter', (_req, res) => {
-        void desk.read().then((r) => Front.say(res, r));
+        void operatorApi.read().then((r) => Front.sendVerdict(res, r));
       });
       app.get('/plan/:id', (req, res) => {
-        void desk.fate(String(req.params['id'])).then((r) => Front.say(res, r));
+        void operatorApi.fate(String(req.params['id'])).then((r) => Front.sendVerdict(res, r));
       });
-      const key = (req: { params: object }): string =>
+      const keyParameter = (req: { params: object }): string =>
         decodeURIComponent(String((req.params as Record<string, unknown>)['key']));
       app.get('/visit/:key', (req, res) => {
-        void desk.request(key(req)).then((r) => Front.say(res, r));
+        void operatorApi.request(keyParameter(req)).then((r) => Front.sendVerdict(res, r));
       });
-      const { lending } = desk;
+      const { lending } = operatorApi;
       app.post('/burst', (req, res) => {
-        void body(req, res).then(async (got) => {
-          if (got) Front.say(res, await lending.begin(got.v));
+        void readBody(req, res).then(async (parsed) => {
+          if (parsed) Front.sendVerdict(res, await lending.begin(parsed.value));
         });
       });
       app.post('/burst/:key/end', (req, res) => {
-        void lending.end(key(req)).then((r) => Front.say(res, r));
+        void lending.end(keyParameter(req)).then((r) => Front.sendVerdict(res, r));
       });
       app.get('/burst/:key', (req, res) => {
-        void lending.burst(key(req)).then((r) => Front.say(res, r));
+        void lending.burst(keyParameter(req)).then((r) => Front.sendVerdict(res, r));
       });
       app.get('/bursts', (_req, res) => {
-        void lending.bursts().then((r) => Front.say(res, r));
+        void lending.bursts().then((r) => Front.sendVerdict(res, r));
       });
-      app.get('/loans', (_req, res) => Front.say(res, lending.loans()));
-      app.get('/loan/:key', (req, res) => Front.say(res, lending.loan(key(req))));
+      app.get('/loans', (_req, res) => Front.sendVerdict(res, lending.loans()));
+      app.get('/loan/:key', (req, res) => Front.sendVerdict(res, lending.loan(keyParameter(req))));
       app.get('/status', (_req, res) => {
-        void desk.status().then((r) => Front.say(res, r));
+        void operatorApi.status().then((r) => Front.sendVerdict(res, r));
       });
       app.get('/trace/:name', (req, res) => {
-        const raw = new URL(req.url, 'http://x').searchParams.get('version');
-        void desk
-          .trace(decodeURIComponent(String(req.params['name'])), raw === null ? null : Number(raw))
-          .then((r) => Front.say(res, r));
+        const rawVersion = new URL(req.url, 'http://x').searchParams.get('version');
+        void operatorApi
+          .trace(decodeURIComponent(String(req.params['name'])), rawVersion === null ? null : Number(rawVersion))
+          .then((r) => Front.sendVerdict(res, r));
       });
     }
     return WebHost.listen(app, addr);
--- a/packages/counter/src/hearing.ts
+++ b/packages/counter/src/hearing.ts
@@ -5,31 +5,31 @@
 import type { Shuns } from './shuns.js';
 import type { Sights } from './sights.js';
 
-type Tools = {
+type Dependencies = {
   log: Log;
-  shelf: Holding;
-  pump: () => void;
-  casting: ReturnType<typeof Casting.make>;
-  shuns: ReturnType<typeof Shuns.make>;
-  sights: ReturnType<typeof Sights.make>;
+  recordStore: Holding;
+  grantTurns: () => void;
+  stageAssigner: ReturnType<typeof Casting.make>;
+  ejections: ReturnType<typeof Shuns.make>;
+  failureReports: ReturnType<typeof Sights.make>;
 };
 
 /** What a daemon does about each version that comes to its shelf. */
-export const Hearing = {
-  make({ log, shelf, pump, casting, shuns, sights }: Tools): void {
-    shelf.heed((doc, old) => {
+export const RecordChangeHandler = {
+  make({ log, recordStore, grantTurns, stageAssigner, ejections, failureReports }: Dependencies): void {
+    recordStore.heed((doc, previous) => {
       if (doc.name === 'charter') {
         log.say(`Charter ${doc.mark[0]} has taken hold.`);
-        pump();
+        grantTurns();
       }
       if (doc.name.startsWith('row:')) {
         const row = doc.body as SheetRow,
-          was = old?.body as SheetRow | undefined;
-        if (was && was.part !== row.part) casting.noted();
-        if (row.stage === 'serving' && was?.stage !== 'serving') shuns.clear(row.server, row.born);
-        pump();
+          previousRow = previous?.body as SheetRow | undefined;
+        if (previousRow && previousRow.part !== row.part) stageAssigner.noted();
+        if (row.stage === 'serving' && previousRow?.stage !== 'serving') ejections.clear(row.server, row.born);
+        grantTurns();
       }
-      if (doc.name.startsWith('sight:')) sights.heard(doc);
+      if (doc.name.startsWith('sight:')) failureReports.heard(doc);
     });
   },
 };
--- a/packages/counter/src/httpback.ts
+++ b/packages/counter/src/httpback.ts
@@ -10,53 +10,53 @@
 import { Handle } from './handle.js';
 import { Piece } from './piece.js';
 
-const MOST = 1024 * 1024;
-const SMALL = 64 * 1024;
-const CODES = ['busy', 'wrongpart', 'lapsed', 'old', 'late', 'bad'] as const;
-const SILENT = ['UND_ERR_HEADERS_TIMEOUT', 'UND_ERR_BODY_TIMEOUT', 'UND_ERR_SOCKET', 'ECONNRESET', 'UND_ERR_ABORTED'];
-const cause = (e: unknown): string => (e as { code?: string }).code ?? String((e as Error).message ?? e);
-const broken = (why: string): Result<never, BackFault> => Err({ ran: 'maybe', code: 'broken', dark: false, why });
+const MAX_REPLY_BYTES = 1024 * 1024;
+const MAX_LINE_BYTES = 64 * 1024;
+const REJECTION_CODES = ['busy', 'wrongpart', 'lapsed', 'old', 'late', 'bad'] as const;
+const NO_REPLY_CODES = ['UND_ERR_HEADERS_TIMEOUT', 'UND_ERR_BODY_TIMEOUT', 'UND_ERR_SOCKET', 'ECONNRESET', 'UND_ERR_ABORTED'];
+const errorCode = (error: unknown): string => (error as { code?: string }).code ?? String((error as Error).message ?? error);
+const brokenStream = (reason: string): Result<never, BackFault> => Err({ ran: 'maybe', code: 'broken', dark: false, why: reason });
 
 /** A fault before any reply. Only a connection that was never made proves that nothing was heard. */
-const torn = (e: unknown, unmade: boolean): BackFault => {
-  const code = cause(e);
+const transportFault = (error: unknown, connectFailed: boolean): BackFault => {
+  const code = errorCode(error);
   return {
-    ran: unmade ? 'no' : 'maybe',
-    code: unmade ? 'unreached' : 'broken',
-    dark: unmade || SILENT.includes(code),
+    ran: connectFailed ? 'no' : 'maybe',
+    code: connectFailed ? 'unreached' : 'broken',
+    dark: connectFailed || NO_REPLY_CODES.includes(code),
     why: code,
   };
 };
 /** A reply that is not 200: a server that turns a job away says why in JSON, and has not run it. */
-const turned = (body: unknown): BackFault => {
+const rejectionFault = (body: unknown): BackFault => {
   const code = (body as { code?: string } | null)?.code;
-  const known = CODES.find((c) => c === code);
-  if (known) return { ran: 'no', code: known, dark: false, why: `turned it away: ${known}` };
+  const rejectionCode = REJECTION_CODES.find((c) => c === code);
+  if (rejectionCode) return { ran: 'no', code: rejectionCode, dark: false, why: `turned it away: ${rejectionCode}` };
   return { ran: 'maybe', code: 'broken', dark: false, why: 'gave a reply that makes no sense' };
 };
 /** Cuts what comes into lines, and hands each on as a piece; gives why the stream can't go on, or null. */
-const cutter = (take: (p: Piece) => boolean) => {
-  let held = '';
-  const line = (text: string): string | null => {
-    let v: unknown = null;
+const lineSplitter = (onLine: (line: Piece) => boolean) => {
+  let buffered = '';
+  const parseLine = (text: string): string | null => {
+    let value: unknown = null;
     try {
-      v = JSON.parse(text);
+      value = JSON.parse(text);
     } catch {
       /* told below */
     }
-    if (!Check.is(Piece, v)) return 'streamed a line that is no piece';
-    return take(v as Piece) ? null : 'the stream was given up';
+    if (!Check.is(Piece, value)) return 'streamed a line that is no piece';
+    return onLine(value as Piece) ? null : 'the stream was given up';
   };
   return {
-    rest: (): string => held,
-    feed(bit: string): string | null {
-      held += bit;
-      for (let i = held.indexOf('\n'); i >= 0; i = held.indexOf('\n')) {
-        const why = line(held.slice(0, i));
-        if (why) return why;
-        held = held.slice(i + 1);
+    remainder: (): string => buffered,
+    push(chunk: string): string | null {
+      buffered += chunk;
+      for (let lineEnd = buffered.indexOf('\n'); lineEnd >= 0; lineEnd = buffered.indexOf('\n')) {
+        const reason = parseLine(buffered.slice(0, lineEnd));
+        if (reason) return reason;
+        buffered = buffered.slice(lineEnd + 1);
       }
-      return held.length > SMALL ? 'streamed a line too long' : null;
+      return buffered.length > MAX_LINE_BYTES ? 'streamed a line too long' : null;
     },
   };
 };
@@ -66,67 +66,67 @@
  * was looked at before a send still holds when it leaves; no reply, and no line of one, is held beyond a fixed size.
  */
 export const HttpBack = {
-  make(met: (s: Socket) => void = () => undefined): Back & { close(): Promise<void> } {
-    const dialer = Dialer.make(met);
+  make(onConnect: (s: Socket) => void = () => undefined): Back & { close(): Promise<void> } {
+    const dialer = Dialer.make(onConnect);
     const agent = new Agent({ connect: dialer.connect, keepAliveTimeout: 4000 });
-    const fault = (e: unknown): BackFault => torn(e, dialer.unmade(e));
-    const ask = async <S extends TSchema>(
+    const faultOf = (error: unknown): BackFault => transportFault(error, dialer.isConnectError(error));
+    const requestJson = async <S extends TSchema>(
       method: 'GET' | 'POST',
       url: string,
       body: unknown,
-      ms: number,
-      form: S,
+      timeoutMs: number,
+      schema: S,
     ): Promise<Result<NoInfer<Static<S>>, BackFault>> => {
       try {
-        const r = await call(url, {
+        const response = await call(url, {
           method,
           dispatcher: agent,
-          headersTimeout: ms,
-          bodyTimeout: ms,
-          signal: AbortSignal.timeout(Math.ceil(ms) + 300),
+          headersTimeout: timeoutMs,
+          bodyTimeout: timeoutMs,
+          signal: AbortSignal.timeout(Math.ceil(timeoutMs) + 300),
           ...(body === undefined
             ? {}
             : { headers: { 'content-type': 'application/json' }, body: JSON.stringify(body) }),
         });
-        const got = await BodyReader.json(r.body, MOST);
-        if (r.statusCode !== 200) return Err(turned(got.ok ? got.val : null));
-        const seen = got.ok ? Check.parse(form, got.val) : got;
-        return seen.ok ? seen : Err({ ran: 'maybe', code: 'bad', dark: false, why: 'gave a reply of the wrong shape' });
-      } catch (e) {
-        return Err(fault(e));
+        const replyBody = await BodyReader.json(response.body, MAX_REPLY_BYTES);
+        if (response.statusCode !== 200) return Err(rejectionFault(replyBody.ok ? replyBody.val : null));
+        const parsed = replyBody.ok ? Check.parse(schema, replyBody.val) : replyBody;
+        return parsed.ok ? parsed : Err({ ran: 'maybe', code: 'bad', dark: false, why: 'gave a reply of the wrong shape' });
+      } catch (error) {
+        return Err(faultOf(error));
       }
     };
     return {
-      prefill: (addr, job, ms) => ask('POST', `http://${addr}/prefill`, job, ms, Handle),
-      order: (addr, slip, ms) => ask('POST', `http://${addr}/order`, slip, ms, BackState),
-      state: (addr, ms) => ask('GET', `http://${addr}/state`, undefined, ms, BackState),
-      async decode(addr, job, ms, take) {
-        const stop = new AbortController();
+      prefill: (addr, job, timeoutMs) => requestJson('POST', `http://${addr}/prefill`, job, timeoutMs, Handle),
+      order: (addr, order, timeoutMs) => requestJson('POST', `http://${addr}/order`, order, timeoutMs, BackState),
+      state: (addr, timeoutMs) => requestJson('GET', `http://${addr}/state`, undefined, timeoutMs, BackState),
+      async decode(addr, job, timeoutMs, onLine) {
+        const abortController = new AbortController();
         try {
-          const r = await call(`http://${addr}/decode`, {
+          const response = await call(`http://${addr}/decode`, {
             method: 'POST',
             dispatcher: agent,
-            headersTimeout: ms,
-            bodyTimeout: ms,
-            signal: stop.signal,
+            headersTimeout: timeoutMs,
+            bodyTimeout: timeoutMs,
+            signal: abortController.signal,
             headers: { 'content-type': 'application/json' },
             body: JSON.stringify(job),
           });
-          if (r.statusCode !== 200) {
-            const got = await BodyReader.json(r.body, SMALL);
-            return Err(turned(got.ok ? got.val : null));
+          if (response.statusCode !== 200) {
+            const replyBody = await BodyReader.json(response.body, MAX_LINE_BYTES);
+            return Err(rejectionFault(replyBody.ok ? replyBody.val : null));
           }
-          const lines = cutter(take);
-          for await (const bit of r.body.setEncoding('utf8') as AsyncIterable<string>) {
-            const why = lines.feed(bit);
-            if (why) {
-              stop.abort();
-              return broken(why);
+          const splitter = lineSplitter(onLine);
+          for await (const chunk of response.body.setEncoding('utf8') as AsyncIterable<string>) {
+            const reason = splitter.push(chunk);
+            if (reason) {
+              abortController.abort();
+              return brokenStream(reason);
             }
           }
-          return lines.rest() === '' ? Ok(null) : broken('ended inside a line');
-        } catch (e) {
-          return Err(fault(e));
+          return splitter.remainder() === '' ? Ok(null) : brokenStream('ended inside a line');
+        } catch (error) {
+          return Err(faultOf(error));
         }
       },
       close: () => agent.destroy(),
--- a/packages/counter/src/ledger.test.ts
+++ b/packages/counter/src/ledger.test.ts
@@ -130,10 +130,10 @@
 describe('Ledger', () => {
   for (const [name, steps] of cases) {
     it(name, () => {
-      const l = Ledger.make(clock);
-      for (const s of steps) {
-        if (s[0] === 'open') expect(l.open('k', s[1], s[5] ?? 'body', s[4] ?? false, s[2])).to.equal(s[3]);
-        else expect(l.step('k', s[1], s[4] ?? 'body', s[0], s[2])).to.equal(s[3]);
+      const ledger = Ledger.make(clock);
+      for (const step of steps) {
+        if (step[0] === 'open') expect(ledger.open('k', step[1], step[5] ?? 'body', step[4] ?? false, step[2])).to.equal(step[3]);
+        else expect(ledger.step('k', step[1], step[4] ?? 'body', step[0], step[2])).to.equal(step[3]);
       }
     });
   }
--- a/packages/counter/src/ledger.ts
+++ b/packages/counter/src/ledger.ts
@@ -1,59 +1,59 @@
 import type { Clock } from '@pumicebarrow/forms';
 import type { Static } from 'typebox';
-import type { Entry } from './entry.js';
-import type { LedgerWords } from './ledgerwords.js';
+import type { LedgerEntry } from './entry.js';
+import type { LedgerMessages } from './ledgerwords.js';
 
-type Say = Static<typeof LedgerWords.opened>['say'];
-const KEEP = 15 * 60_000;
-const MOST = 200_000;
+type OpenReply = Static<typeof LedgerMessages.openReply>['say'];
+const RETENTION_MS = 15 * 60_000;
+const MAX_KEYS = 200_000;
 
 /** The owner's side of the request ledger: in memory, for the keys that fall to this daemon. */
 export const Ledger = {
   make(clock: Clock) {
-    const rows = new Map<string, Entry>();
-    const put = (key: string, e: Entry): void => {
-      rows.delete(key);
-      rows.set(key, e);
-      for (const [k, r] of rows) {
-        if (rows.size <= MOST && clock.mono() - r.at < KEEP) break;
-        rows.delete(k);
+    const entries = new Map<string, LedgerEntry>();
+    const store = (key: string, entry: LedgerEntry): void => {
+      entries.delete(key);
+      entries.set(key, entry);
+      for (const [oldestKey, oldest] of entries) {
+        if (entries.size <= MAX_KEYS && clock.mono() - oldest.updatedAtMs < RETENTION_MS) break;
+        entries.delete(oldestKey);
       }
     };
     return {
-      size: (): number => rows.size,
-      get: (key: string): Entry | undefined => rows.get(key),
-      open(key: string, attempt: number, digest: string, proven: boolean, by: string): Say {
-        const r = rows.get(key),
-          fresh: Entry = { digest, attempt, state: 'open', by, at: clock.mono() };
-        if (!r) {
+      size: (): number => entries.size,
+      get: (key: string): LedgerEntry | undefined => entries.get(key),
+      open(key: string, attempt: number, digest: string, proven: boolean, by: string): OpenReply {
+        const known = entries.get(key),
+          fresh: LedgerEntry = { digest, attempt, state: 'open', by, updatedAtMs: clock.mono() };
+        if (!known) {
           if (attempt > 1 && !proven) return 'unknown';
-          put(key, fresh);
+          store(key, fresh);
           return 'ok';
         }
-        if (r.digest !== digest) return 'other';
-        if (r.state === 'ran') return 'ran';
-        if (r.state === 'sent') return 'sent';
-        if (attempt < r.attempt) return 'twin';
-        if (attempt === r.attempt) return r.state === 'closed' ? 'closed' : 'twin';
-        if (attempt > r.attempt + 1 && !proven) return 'unknown';
-        put(key, fresh);
+        if (known.digest !== digest) return 'other';
+        if (known.state === 'ran') return 'ran';
+        if (known.state === 'sent') return 'sent';
+        if (attempt < known.attempt) return 'twin';
+        if (attempt === known.attempt) return known.state === 'closed' ? 'closed' : 'twin';
+        if (attempt > known.attempt + 1 && !proven) return 'unknown';
+        store(key, fresh);
         return 'ok';
       },
       step(key: string, attempt: number, digest: string, to: 'sent' | 'closed' | 'ran', by: string): boolean {
-        const r = rows.get(key);
-        if (to === 'closed' && !r && attempt === 1) {
-          put(key, { digest, attempt, state: 'closed', by, at: clock.mono() });
+        const known = entries.get(key);
+        if (to === 'closed' && !known && attempt === 1) {
+          store(key, { digest, attempt, state: 'closed', by, updatedAtMs: clock.mono() });
           return true;
         }
-        if (!r || r.digest !== digest) return false;
-        if (to === 'closed' && attempt === r.attempt + 1 && (r.state === 'closed' || r.state === 'open')) {
-          put(key, { digest, attempt, state: 'closed', by, at: clock.mono() });
+        if (!known || known.digest !== digest) return false;
+        if (to === 'closed' && attempt === known.attempt + 1 && (known.state === 'closed' || known.state === 'open')) {
+          store(key, { digest, attempt, state: 'closed', by, updatedAtMs: clock.mono() });
           return true;
         }
-        if (r.attempt !== attempt || (r.by !== by && r.state !== to)) return false;
-        const good = to === 'sent' ? r.state === 'open' : to === 'closed' ? r.state !== 'ran' : r.state === 'sent';
-        if (good) put(key, { ...r, state: to, at: clock.mono() });
-        return good;
+        if (known.attempt !== attempt || (known.by !== by && known.state !== to)) return false;
+        const allowed = to === 'sent' ? known.state === 'open' : to === 'closed' ? known.state !== 'ran' : known.state === 'sent';
+        if (allowed) store(key, { ...known, state: to, updatedAtMs: clock.mono() });
+        return allowed;
       },
     };
   },
--- a/packages/counter/src/ledgerdesk.ts
+++ b/packages/counter/src/ledgerdesk.ts
@@ -1,21 +1,21 @@
 import type { Ident, PostBox } from '@pumicebarrow/forms';
 import type { Ledger } from './ledger.js';
-import { LedgerWords } from './ledgerwords.js';
+import { LedgerMessages } from './ledgerwords.js';
 
-const by = (who: Ident): string => `${who.id}/${who.born}`;
+const senderId = (sender: Ident): string => `${sender.id}/${sender.born}`;
 
 /**
  * Opens the ledger owner's desk to the other daemons. Invariant: what was meant for another life is not recorded
  * here.
  */
-export const LedgerDesk = {
+export const LedgerHandler = {
   make(post: PostBox, ledger: ReturnType<typeof Ledger.make>, self: () => Ident): void {
-    post.on('ledger.open', LedgerWords.open, (b, from) => {
-      if (b.life !== undefined && b.life !== self().born) return { say: 'unknown' };
-      return { say: ledger.open(b.key, b.attempt, b.digest, b.proven, by(from)) };
+    post.on('ledger.open', LedgerMessages.open, (message, from) => {
+      if (message.life !== undefined && message.life !== self().born) return { say: 'unknown' };
+      return { say: ledger.open(message.key, message.attempt, message.digest, message.proven, senderId(from)) };
     });
-    post.on('ledger.step', LedgerWords.step, (b, from) => ({
-      ok: ledger.step(b.key, b.attempt, b.digest, b.to, by(from)),
+    post.on('ledger.step', LedgerMessages.step, (message, from) => ({
+      ok: ledger.step(message.key, message.attempt, message.digest, message.to, senderId(from)),
     }));
   },
 };
--- a/packages/counter/src/ledgerwords.ts
+++ b/packages/counter/src/ledgerwords.ts
@@ -1,16 +1,16 @@
 import { Type } from 'typebox';
 
-const shut = { additionalProperties: false } as const;
-const base = { key: Type.String({ maxLength: 120 }), attempt: Type.Integer({ minimum: 1 }) };
+const strict = { additionalProperties: false } as const;
+const attemptFields = { key: Type.String({ maxLength: 120 }), attempt: Type.Integer({ minimum: 1 }) };
 
 /** The forms of what is said to ledger owners. */
-export const LedgerWords = {
+export const LedgerMessages = {
   /** `life` names the owner's life that is meant; another life records nothing and says 'unknown'. */
   open: Type.Object(
-    { ...base, digest: Type.String(), proven: Type.Boolean(), life: Type.Optional(Type.String()) },
-    shut,
+    { ...attemptFields, digest: Type.String(), proven: Type.Boolean(), life: Type.Optional(Type.String()) },
+    strict,
   ),
-  opened: Type.Object(
+  openReply: Type.Object(
     {
       say: Type.Union([
         Type.Literal('ok'),
@@ -22,15 +22,15 @@
         Type.Literal('other'),
       ]),
     },
-    shut,
+    strict,
   ),
   step: Type.Object(
     {
-      ...base,
+      ...attemptFields,
       digest: Type.String(),
       to: Type.Union([Type.Literal('sent'), Type.Literal('closed'), Type.Literal('ran')]),
     },
-    shut,
+    strict,
   ),
-  stepped: Type.Object({ ok: Type.Boolean() }, shut),
+  stepReply: Type.Object({ ok: Type.Boolean() }, strict),
 };
--- a/packages/counter/src/lentrun.ts
+++ b/packages/counter/src/lentrun.ts
@@ -3,12 +3,12 @@
 import type { Borrower } from './lending/borrower.js';
 import { LentChoice } from './lending/lentchoice.js';
 import type { Loads } from './loads.js';
-import { Pump } from './pump.js';
-import { Run } from './run.js';
+import { TurnGranter } from './pump.js';
+import { RequestRunner } from './run.js';
 import type { RunTools } from './runtools.js';
 import { Queue } from './queue.js';
 
-type Tools = Pick<
+type Dependencies = Pick<
   RunTools,
   'world' | 'choice' | 'town' | 'hails' | 'witness' | 'back' | 'sighted' | 'version' | 'sure'
 > & {
@@ -27,38 +27,38 @@
  * lowest urgency there; there are no extra tries, what finds a fault goes back to its burst.
  */
 export const LentRun = {
-  make(t: Tools) {
-    const { clock } = t.world;
+  make(deps: Dependencies) {
+    const { clock } = deps.world;
     const queue = Queue.make(clock),
-      hands = Queue.make(clock);
-    const choice = LentChoice.make({ live: t.choice, loads: t.loads, borrower: t.borrower });
-    const admission = Admission.make({ ...t, queue, choice });
-    const pump = Pump.make({ clock, queue, hands, admission, choice, loads: t.loads, serving: t.serving });
-    const hails = {
-      ...t.hails,
-      bound: (s: Parameters<typeof t.hails.bound>[0], until: number) => {
-        const lent = t.borrower.lease(s.id, s.born);
-        return lent && t.hails.bound(s, Math.min(until, lent.until));
+      decodeQueue = Queue.make(clock);
+    const serverPicker = LentChoice.make({ live: deps.choice, loads: deps.loads, borrower: deps.borrower });
+    const admission = Admission.make({ ...deps, queue, choice: serverPicker });
+    const grantTurns = TurnGranter.make({ clock, queue, decodeQueue, admission, choice: serverPicker, loads: deps.loads, serving: deps.serving });
+    const boundedServerClocks = {
+      ...deps.hails,
+      bound: (s: Parameters<typeof deps.hails.bound>[0], until: number) => {
+        const lease = deps.borrower.lease(s.id, s.born);
+        return lease && deps.hails.bound(s, Math.min(until, lease.until));
       },
     };
-    const bucket = { request: (): void => undefined, take: (): boolean => false, level: (): number => 0 };
+    const retryBudget = { request: (): void => undefined, take: (): boolean => false, level: (): number => 0 };
     const demand = { read: 0, write: 0 };
-    const lists = { queue, hands, choice, loads: t.loads };
-    const request = Run.make({ ...t, ...lists, hails, admission, pump, bucket, demand, urgency: 0 });
+    const queues = { queue, decodeQueue, choice: serverPicker, loads: deps.loads };
+    const request = RequestRunner.make({ ...deps, ...queues, hails: boundedServerClocks, admission, grantTurns, retryBudget, demand, urgency: 0 });
     return {
       request,
-      pump,
+      pump: grantTurns,
       under: admission.under,
       /** How much of a rule may be in hand at once: what is lent at decode servers, while readers are lent too. */
-      room: (rule: Rule): number => {
-        const slots = (part: 'prefill' | 'decode'): number =>
-          choice.usable(part).reduce((n, s) => n + t.borrower.slots(s.id, s.born), 0);
-        return slots('prefill') >= rule.weight ? slots('decode') : 0;
+      room: (route: Rule): number => {
+        const borrowedSlots = (part: 'prefill' | 'decode'): number =>
+          serverPicker.usable(part).reduce((n, s) => n + deps.borrower.slots(s.id, s.born), 0);
+        return borrowedSlots('prefill') >= route.weight ? borrowedSlots('decode') : 0;
       },
       /** All that waits is given up, as not run. */
       clear(): void {
         queue.clear();
-        hands.clear();
+        decodeQueue.clear();
       },
     };
   },
--- a/packages/counter/src/piece.ts
+++ b/packages/counter/src/piece.ts
@@ -1,6 +1,6 @@
 import { Type, type Static } from 'typebox';
 
-const shut = { additionalProperties: false } as const;
+const strict = { additionalProperties: false } as const;
 
 /** One line of a decode server's stream: a numbered piece, or the end with its count and digest. */
 export const Piece = Type.Union([
@@ -12,7 +12,7 @@
       n: Type.Integer({ minimum: 1 }),
       text: Type.String(),
     },
-    shut,
+    strict,
   ),
   Type.Object(
     {
@@ -23,7 +23,7 @@
       count: Type.Integer({ minimum: 0 }),
       digest: Type.String(),
     },
-    shut,
+    strict,
   ),
 ]);
 export type Piece = Static<typeof Piece>;
--- a/packages/counter/src/pump.ts
+++ b/packages/counter/src/pump.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '@pumicebarrow/forms';
 import type { RunTools } from './runtools.js';
 
-type Tools = Pick<RunTools, 'admission' | 'queue' | 'hands' | 'choice' | 'loads'> & {
+type Dependencies = Pick<RunTools, 'admission' | 'queue' | 'decodeQueue' | 'choice' | 'loads'> & {
   clock: Clock;
   serving: () => boolean;
 };
@@ -10,23 +10,23 @@
  * Gives turns to requests that wait: at admission, and with a handle for a decode server. Invariant: room that a turn
  * was given for counts as taken until that request has had its chance to take it.
  */
-export const Pump = {
-  make(t: Tools): () => void {
+export const TurnGranter = {
+  make(deps: Dependencies): () => void {
     return () => {
-      const turns: (() => void)[] = [];
-      t.queue.pump((rule) => {
-        if (!t.serving() || !t.admission.room(rule)) return false;
-        turns.push(t.loads.take('*turn', rule.weight));
+      const reservations: (() => void)[] = [];
+      deps.queue.pump((route) => {
+        if (!deps.serving() || !deps.admission.room(route)) return false;
+        reservations.push(deps.loads.take('*turn', route.weight));
         return true;
       });
-      t.hands.pump((rule) => {
-        if (!t.choice.roomy('decode', rule, '*hand')) return false;
-        turns.push(t.loads.take('*hand', rule.weight));
+      deps.decodeQueue.pump((route) => {
+        if (!deps.choice.roomy('decode', route, '*hand')) return false;
+        reservations.push(deps.loads.take('*hand', route.weight));
         return true;
       });
-      if (turns.length === 0) return;
-      t.clock.after(0, () => {
-        for (const f of turns) f();
+      if (reservations.length === 0) return;
+      deps.clock.after(0, () => {
+        for (const release of reservations) release();
       });
     };
   },
--- a/packages/counter/src/reading.ts
+++ b/packages/counter/src/reading.ts
@@ -4,70 +4,70 @@
 import type { Handle } from './handle.js';
 import type { Listed } from './listed.js';
 import type { RunTools } from './runtools.js';
-import type { Tries } from './tries.js';
+import type { RetryPolicy } from './tries.js';
 import type { Trip } from './trip.js';
 import { Urgency } from './urgency.js';
 import type { Request } from './request.js';
 
-type Taken = { s: Listed; free: () => void };
-const PATIENCE = 4000;
-const LEAST = 200;
-const LOOK = 20;
-const MISFIT: BackFault = { ran: 'no', code: 'bad', dark: false, why: 'gave a handle that does not fit the request' };
+type ReservedServer = { server: Listed; release: () => void };
+const MAX_TIMEOUT_MS = 4000;
+const MIN_TIMEOUT_MS = 200;
+const POLL_INTERVAL_MS = 20;
+const HANDLE_MISMATCH: BackFault = { ran: 'no', code: 'bad', dark: false, why: 'gave a handle that does not fit the request' };
 
 /** Whether a handle is of this request, this life of the server and this prompt. */
-const fits = (h: Handle | null, v: Request, s: Listed): boolean =>
-  h !== null &&
-  h.key === v.key &&
-  h.attempt === v.attempt &&
-  h.server === s.id &&
-  h.born === s.born &&
-  h.digest === Hash.text(v.prefix + v.part);
+const matchesRequest = (handle: Handle | null, request: Request, server: Listed): boolean =>
+  handle !== null &&
+  handle.key === request.key &&
+  handle.attempt === request.attempt &&
+  handle.server === server.id &&
+  handle.born === server.born &&
+  handle.digest === Hash.text(request.prefix + request.part);
 
 /**
  * A request's prompt is read by a prefill server. Invariants: it is sent in the same turn as the list was looked at;
  * the room it was given is taken in the instant in which it is found;
  * whatever comes of it, the request has not run.
  */
-export const Reading = {
-  make(t: RunTools, tries: ReturnType<typeof Tries.make>) {
-    const { world, loads } = t;
+export const PrefillRunner = {
+  make(deps: RunTools, retryPolicy: ReturnType<typeof RetryPolicy.make>) {
+    const { world, loads } = deps;
     const now = (): number => world.clock.mono();
-    const room = async (trip: Trip): Promise<Taken | null> => {
-      const from = (not: ReadonlySet<string>): Listed | null => t.choice.prefill(trip.rule, trip.prefix, not);
+    const reserveServer = async (inFlight: Trip): Promise<ReservedServer | null> => {
+      const choose = (excluded: ReadonlySet<string>): Listed | null => deps.choice.prefill(inFlight.rule, inFlight.prefix, excluded);
       for (;;) {
-        const s = tries.pick(trip, from);
-        if (s) return { s, free: loads.take(s.id, trip.rule.weight) };
-        if (now() >= trip.due || trip.sink.gone()) return null;
-        await Timer.nap(world.clock, LOOK);
+        const server = retryPolicy.pickServer(inFlight, choose);
+        if (server) return { server, release: loads.take(server.id, inFlight.rule.weight) };
+        if (now() >= inFlight.due || inFlight.sink.gone()) return null;
+        await Timer.nap(world.clock, POLL_INTERVAL_MS);
       }
     };
-    const send = async (trip: Trip, s: Listed, bound: Bound): Promise<void> => {
-      const { v, rule, life } = trip;
-      const { key, attempt, prefix, part } = v;
-      world.tell({ what: 'send', part: 'prefill', server: s.id, key, attempt, version: t.version() });
-      const job = { key, attempt, ...Urgency.of(t), ...bound, prefix, part, weight: rule.weight };
-      const got = await t.back.prefill(s.addr, job, Math.max(LEAST, Math.min(PATIENCE, trip.due - now())));
-      const h = got.ok ? got.val : null;
-      if (fits(h, v, s)) {
-        trip.handle = h;
-        trip.reader = s;
-        life.send('read');
+    const send = async (inFlight: Trip, server: Listed, bound: Bound): Promise<void> => {
+      const { v: request, rule: route, life: stateMachine } = inFlight;
+      const { key, attempt, prefix, part } = request;
+      world.tell({ what: 'send', part: 'prefill', server: server.id, key, attempt, version: deps.version() });
+      const job = { key, attempt, ...Urgency.of(deps), ...bound, prefix, part, weight: route.weight };
+      const reply = await deps.back.prefill(server.addr, job, Math.max(MIN_TIMEOUT_MS, Math.min(MAX_TIMEOUT_MS, inFlight.due - now())));
+      const handle = reply.ok ? reply.val : null;
+      if (matchesRequest(handle, request, server)) {
+        inFlight.handle = handle;
+        inFlight.reader = server;
+        stateMachine.send('read');
         return;
       }
-      const f: BackFault = got.ok ? MISFIT : got.val;
-      life.send(tries.spend(trip, { ...f, ran: 'no' }, s) ? 'again' : 'give');
+      const fault: BackFault = reply.ok ? HANDLE_MISMATCH : reply.val;
+      stateMachine.send(retryPolicy.tryRetryAfter(inFlight, { ...fault, ran: 'no' }, server) ? 'again' : 'give');
     };
-    return async (trip: Trip): Promise<void> => {
-      t.demand.read += trip.rule.weight;
-      const got = await room(trip);
-      trip.settled();
-      const bound = tries.bound(got?.s ?? null);
-      if (got && bound) await send(trip, got.s, bound);
-      else trip.life.send('give');
-      got?.free();
-      t.demand.read -= trip.rule.weight;
-      t.pump();
+    return async (inFlight: Trip): Promise<void> => {
+      deps.demand.read += inFlight.rule.weight;
+      const reserved = await reserveServer(inFlight);
+      inFlight.settled();
+      const bound = retryPolicy.executionBound(reserved?.server ?? null);
+      if (reserved && bound) await send(inFlight, reserved.server, bound);
+      else inFlight.life.send('give');
+      reserved?.release();
+      deps.demand.read -= inFlight.rule.weight;
+      deps.grantTurns();
     };
   },
 };
--- a/packages/counter/src/requestdesk.ts
+++ b/packages/counter/src/requestdesk.ts
@@ -3,12 +3,12 @@
 import type { Ledger } from './ledger.js';
 import type { RequestDiary } from './requestdiary.js';
 
-const shut = { additionalProperties: false } as const;
+const strict = { additionalProperties: false } as const;
 
 /** Where a daemon tells what it knows of a request: what it did, and what it recorded as a ledger owner. */
 export const RequestDesk = {
   forms: {
-    ask: Type.Object({ key: Type.String() }, shut),
+    request: Type.Object({ key: Type.String() }, strict),
     told: Type.Object(
       {
         steps: Type.Array(
@@ -19,21 +19,21 @@
               attempt: Type.Integer(),
               more: Type.Record(Type.String(), Type.Unknown()),
             },
-            shut,
+            strict,
           ),
         ),
         entry: Type.Union([
           Type.Null(),
-          Type.Object({ attempt: Type.Integer(), state: Type.String(), by: Type.String() }, shut),
+          Type.Object({ attempt: Type.Integer(), state: Type.String(), by: Type.String() }, strict),
         ]),
       },
-      shut,
+      strict,
     ),
   },
-  make(post: PostBox, diary: ReturnType<typeof RequestDiary.make>, ledger: ReturnType<typeof Ledger.make>): void {
-    post.on('visit.tell', RequestDesk.forms.ask, (b) => {
-      const e = ledger.get(b.key);
-      return { steps: diary.of(b.key), entry: e ? { attempt: e.attempt, state: e.state, by: e.by } : null };
+  make(post: PostBox, requestLog: ReturnType<typeof RequestDiary.make>, ledger: ReturnType<typeof Ledger.make>): void {
+    post.on('visit.tell', RequestDesk.forms.request, (message) => {
+      const entry = ledger.get(message.key);
+      return { steps: requestLog.of(message.key), entry: entry ? { attempt: entry.attempt, state: entry.state, by: entry.by } : null };
     });
   },
 };
--- a/packages/counter/src/requestmeter.test.ts
+++ b/packages/counter/src/requestmeter.test.ts
@@ -2,23 +2,23 @@
 import { expect } from 'chai';
 import { RequestMeter } from './requestmeter.js';
 
-type Deed = Parameters<World['tell']>[0];
-type Step = [ms: number, d: Deed];
-const of = (what: string, more: object = {}): Deed => ({ what, key: 'k', attempt: 1, ...more });
-const admitted = of('gated', { rule: 'verdict' });
+type Event = Parameters<World['tell']>[0];
+type Step = [ms: number, d: Event];
+const requestEvent = (what: string, more: object = {}): Event => ({ what, key: 'k', attempt: 1, ...more });
+const admitted = requestEvent('gated', { rule: 'verdict' });
 
 /** What the meter shows after some deeds, each so many ms after the one before. */
-const shown = async (steps: readonly Step[]): Promise<string> => {
+const metricsAfter = async (steps: readonly Step[]): Promise<string> => {
   let now = 0;
   const meters = Meters.make();
   const meter = RequestMeter.make(meters, () => now);
-  const told: Deed[] = [];
-  const world = meter.listen({ tell: (d: Deed) => told.push(d) } as unknown as World);
-  for (const [ms, d] of steps) {
+  const forwarded: Event[] = [];
+  const world = meter.listen({ tell: (event: Event) => forwarded.push(event) } as unknown as World);
+  for (const [ms, event] of steps) {
     now += ms;
-    world.tell(d);
+    world.tell(event);
   }
-  expect(told.length).to.equal(steps.length);
+  expect(forwarded.length).to.equal(steps.length);
   return meters.text();
 };
 
@@ -28,7 +28,7 @@
       'a request by rule and verdict',
       [
         [0, admitted],
-        [900, of('visit', { ran: 'yes', code: 'ran' })],
+        [900, requestEvent('visit', { ran: 'yes', code: 'ran' })],
       ],
       [
         'pumicebarrow_visits_total{rule="verdict",ran="yes",code="ran"} 1',
@@ -37,15 +37,15 @@
     ],
     [
       'a request that was refused at admission, without a rule',
-      [[0, of('visit', { ran: 'no', code: 'full' })]],
+      [[0, requestEvent('visit', { ran: 'no', code: 'full' })]],
       ['pumicebarrow_visits_total{rule="none",ran="no",code="full"} 1'],
     ],
     [
       'the wait once, up to the first send',
       [
         [0, admitted],
-        [250, of('send', { part: 'prefill' })],
-        [250, of('send', { part: 'decode' })],
+        [250, requestEvent('send', { part: 'prefill' })],
+        [250, requestEvent('send', { part: 'decode' })],
       ],
       ['pumicebarrow_wait_seconds_sum{rule="verdict"} 0.25', 'pumicebarrow_wait_seconds_count{rule="verdict"} 1'],
     ],
@@ -53,37 +53,37 @@
       'the first piece',
       [
         [0, admitted],
-        [500, of('streams')],
+        [500, requestEvent('streams')],
       ],
       ['pumicebarrow_first_piece_seconds_sum{rule="verdict"} 0.5'],
     ],
     [
       'extra tries by what was met',
       [
-        [0, of('extra', { code: 'lapsed' })],
-        [0, of('extra', { code: 'lapsed' })],
+        [0, requestEvent('extra', { code: 'lapsed' })],
+        [0, requestEvent('extra', { code: 'lapsed' })],
       ],
       ['pumicebarrow_extra_tries_total{code="lapsed"} 2'],
     ],
     [
       'versions by how they came',
-      [[0, of('held', { via: 'sender' })]],
+      [[0, requestEvent('held', { via: 'sender' })]],
       ['pumicebarrow_docs_held_total{via="sender"} 1'],
     ],
   ];
-  for (const [name, steps, want] of cases) {
+  for (const [name, steps, expectedLines] of cases) {
     it(`counts ${name}`, async () => {
-      const text = await shown(steps);
-      for (const line of want) expect(text).to.contain(`${line}\n`);
+      const text = await metricsAfter(steps);
+      for (const line of expectedLines) expect(text).to.contain(`${line}\n`);
     });
   }
   it('remembers no more requests than its bound, and counts one that it forgot', () => {
     const meter = RequestMeter.make(Meters.make(), () => 0);
     const world = meter.listen({ tell: () => undefined } as unknown as World);
     for (let i = 0; i < 10_000; i++) world.tell({ ...admitted, key: `k${i}` });
-    expect(meter.under()).to.equal(8192);
-    world.tell({ ...of('visit', { ran: 'yes', code: 'ran' }), key: 'k0' });
-    expect(meter.under()).to.equal(8192);
+    expect(meter.trackedCount()).to.equal(8192);
+    world.tell({ ...requestEvent('visit', { ran: 'yes', code: 'ran' }), key: 'k0' });
+    expect(meter.trackedCount()).to.equal(8192);
   });
   it('times the pieces of a stream', async () => {
     let now = 0;
--- a/packages/counter/src/requestmeter.ts
+++ b/packages/counter/src/requestmeter.ts
@@ -1,10 +1,10 @@
 import type { Metering, World } from '@pumicebarrow/forms';
 import type { CallerSink } from './callersink.js';
 
-type Under = { rule: string; at: number; sent: boolean };
-const MOST = 8192;
+type TrackedRequest = { rule: string; admittedAtMs: number; sent: boolean };
+const MAX_TRACKED_REQUESTS = 8192;
 /** Of a request that was refused before its rule was known. */
-const NONE = 'none';
+const UNKNOWN_ROUTE = 'none';
 
 /**
  * Counts requests by what this daemon does for them. Invariants: a request under way is known by key and attempt, from
@@ -12,72 +12,72 @@
  * rule.
  */
 export const RequestMeter = {
-  make(meters: Metering, mono: () => number) {
-    const open = new Map<string, Under>();
-    const requests = meters.count('visits_total', 'requests that ended here, by rule and verdict', [
+  make(metrics: Metering, mono: () => number) {
+    const inFlight = new Map<string, TrackedRequest>();
+    const requestsTotal = metrics.count('visits_total', 'requests that ended here, by rule and verdict', [
       'rule',
       'ran',
       'code',
     ]);
-    const extra = meters.count('extra_tries_total', 'hand-overs tried again, by what the first met', ['code']);
-    const wait = meters.time('wait_seconds', 'from admission to the first send', ['rule']);
-    const first = meters.time('first_piece_seconds', 'from admission to the first piece', ['rule']);
-    const between = meters.time('between_pieces_seconds', 'from one piece to the next', ['rule']);
-    const whole = meters.time('visit_seconds', 'from admission to the outcome', ['rule']);
-    const held = meters.count('docs_held_total', 'versions taken in, by how they came', ['via']);
-    const orders = meters.count('orders_total', 'orders sent to servers');
-    const slept = meters.count('sleeps_total', 'times that this daemon found that it had slept');
-    const name = (d: object): string => {
-      const { key, attempt } = d as { key?: unknown; attempt?: unknown };
+    const extraTriesTotal = metrics.count('extra_tries_total', 'hand-overs tried again, by what the first met', ['code']);
+    const waitSeconds = metrics.time('wait_seconds', 'from admission to the first send', ['rule']);
+    const firstPieceSeconds = metrics.time('first_piece_seconds', 'from admission to the first piece', ['rule']);
+    const betweenPiecesSeconds = metrics.time('between_pieces_seconds', 'from one piece to the next', ['rule']);
+    const requestSeconds = metrics.time('visit_seconds', 'from admission to the outcome', ['rule']);
+    const recordsHeldTotal = metrics.count('docs_held_total', 'versions taken in, by how they came', ['via']);
+    const ordersTotal = metrics.count('orders_total', 'orders sent to servers');
+    const suspensionsTotal = metrics.count('sleeps_total', 'times that this daemon found that it had slept');
+    const idOf = (event: object): string => {
+      const { key, attempt } = event as { key?: unknown; attempt?: unknown };
       return `${String(key)} ${String(attempt)}`;
     };
-    const enter = (id: string, rule: string): void => {
-      open.set(id, { rule, at: mono(), sent: false });
-      if (open.size > MOST) open.delete(open.keys().next().value!);
+    const onAdmitted = (id: string, rule: string): void => {
+      inFlight.set(id, { rule, admittedAtMs: mono(), sent: false });
+      if (inFlight.size > MAX_TRACKED_REQUESTS) inFlight.delete(inFlight.keys().next().value!);
     };
-    const send = (u: Under): void => {
-      if (!u.sent) wait(mono() - u.at, { rule: u.rule });
-      u.sent = true;
+    const onSent = (tracked: TrackedRequest): void => {
+      if (!tracked.sent) waitSeconds(mono() - tracked.admittedAtMs, { rule: tracked.rule });
+      tracked.sent = true;
     };
-    const leave = (id: string, u: Under | undefined, ran: string, code: string): void => {
-      requests({ rule: u?.rule ?? NONE, ran, code });
-      if (u) whole(mono() - u.at, { rule: u.rule });
-      open.delete(id);
+    const onFinished = (id: string, tracked: TrackedRequest | undefined, ran: string, code: string): void => {
+      requestsTotal({ rule: tracked?.rule ?? UNKNOWN_ROUTE, ran, code });
+      if (tracked) requestSeconds(mono() - tracked.admittedAtMs, { rule: tracked.rule });
+      inFlight.delete(id);
     };
-    const hear = (d: Parameters<World['tell']>[0]): void => {
-      const id = name(d),
-        u = open.get(id);
-      if (d.what === 'gated') enter(id, String(d['rule']));
-      else if (d.what === 'send' && u) send(u);
-      else if (d.what === 'streams' && u) first(mono() - u.at, { rule: u.rule });
-      else if (d.what === 'extra') extra({ code: String(d['code']) });
-      else if (d.what === 'visit') leave(id, u, String(d['ran']), String(d['code']));
-      else if (d.what === 'held') held({ via: String(d['via']) });
-      else if (d.what === 'order') orders();
-      else if (d.what === 'woke') slept();
+    const onEvent = (event: Parameters<World['tell']>[0]): void => {
+      const id = idOf(event),
+        tracked = inFlight.get(id);
+      if (event.what === 'gated') onAdmitted(id, String(event['rule']));
+      else if (event.what === 'send' && tracked) onSent(tracked);
+      else if (event.what === 'streams' && tracked) firstPieceSeconds(mono() - tracked.admittedAtMs, { rule: tracked.rule });
+      else if (event.what === 'extra') extraTriesTotal({ code: String(event['code']) });
+      else if (event.what === 'visit') onFinished(id, tracked, String(event['ran']), String(event['code']));
+      else if (event.what === 'held') recordsHeldTotal({ via: String(event['via']) });
+      else if (event.what === 'order') ordersTotal();
+      else if (event.what === 'woke') suspensionsTotal();
     };
     return {
-      under: (): number => open.size,
+      trackedCount: (): number => inFlight.size,
       /** The same world, whose deeds are counted too. */
       listen(world: World): World {
         return {
           ...world,
-          tell: (d) => {
-            hear(d);
-            world.tell(d);
+          tell: (event) => {
+            onEvent(event);
+            world.tell(event);
           },
         };
       },
       /** The same sink, whose pieces are timed. */
-      timed(id: { key: string; attempt: number }, sink: CallerSink): CallerSink {
-        let last = -1;
+      timed(id: { key: string; attempt: number }, writer: CallerSink): CallerSink {
+        let lastPieceAtMs = -1;
         return {
-          ...sink,
+          ...writer,
           piece(n, text) {
             const now = mono();
-            if (last >= 0) between(now - last, { rule: open.get(name(id))?.rule ?? NONE });
-            last = now;
-            sink.piece(n, text);
+            if (lastPieceAtMs >= 0) betweenPiecesSeconds(now - lastPieceAtMs, { rule: inFlight.get(idOf(id))?.rule ?? UNKNOWN_ROUTE });
+            lastPieceAtMs = now;
+            writer.piece(n, text);
           },
         };
       },
--- a/packages/counter/src/run.ts
+++ b/packages/counter/src/run.ts
@@ -1,20 +1,20 @@
 import { Hash, Verdicts, type Ident, type Rule, type Verdict } from '@pumicebarrow/forms';
 import { interpret } from 'robot3';
 import type { CallerSink } from './callersink.js';
-import { Reading } from './reading.js';
+import { PrefillRunner } from './reading.js';
 import type { RunTools } from './runtools.js';
-import { Tries } from './tries.js';
+import { RetryPolicy } from './tries.js';
 import type { Trip } from './trip.js';
 import type { Request } from './request.js';
 import { RequestLife } from './requestlife.js';
-import { Writing } from './writing.js';
+import { DecodeRunner } from './writing.js';
 
-type Turn = { settled: () => void; over: () => void };
-type Book = { owners: readonly Ident[]; digest: string };
-type Done = { verdict: Verdict; ran: boolean };
-const MOST = 15;
-const tooOld = (wait: number): Verdict =>
-  Verdicts.not('late', 'No server had room in time.', Math.min(MOST, Math.max(1, Math.ceil(wait / 1000))));
+type AdmittedTurn = { settled: () => void; over: () => void };
+type LedgerRecord = { owners: readonly Ident[]; digest: string };
+type Outcome = { verdict: Verdict; ran: boolean };
+const MAX_RETRY_AFTER_S = 15;
+const noRoomInTime = (estimatedWaitMs: number): Verdict =>
+  Verdicts.not('late', 'No server had room in time.', Math.min(MAX_RETRY_AFTER_S, Math.max(1, Math.ceil(estimatedWaitMs / 1000))));
 
 /**
  * One request, from admission to its outcome, written straight down.
@@ -22,88 +22,88 @@
  * a look at a young list, and bound by that list's age so that it can't take hold later; a request is sent again only
  * on proof that it has not run, and each time from the bucket; the sink hears one outcome.
  */
-export const Run = {
-  make(t: RunTools) {
-    const { world, witness } = t;
+export const RequestRunner = {
+  make(deps: RunTools) {
+    const { world, witness } = deps;
     const now = (): number => world.clock.mono();
-    const tries = Tries.make(t);
-    const read = Reading.make(t, tries),
-      write = Writing.make(t, tries);
-    const late = (rule: Rule): Verdict => tooOld(t.queue.foresee(rule.urgency));
+    const retryPolicy = RetryPolicy.make(deps);
+    const prefill = PrefillRunner.make(deps, retryPolicy),
+      decode = DecodeRunner.make(deps, retryPolicy);
+    const lateVerdict = (route: Rule): Verdict => noRoomInTime(deps.queue.foresee(route.urgency));
 
     /** A marked request is read and written, again and again where that is safe, until it is whole or given up. */
-    const go = async (v: Request, rule: Rule, sink: CallerSink, due: number, settled: () => void): Promise<Done> => {
-      const life = interpret(RequestLife, () => undefined);
-      const prefix = Hash.text(v.prefix);
-      const trip: Trip = {
-        ...{ v, rule, sink, due, settled, life, prefix, why: late(rule) },
+    const runToEnd = async (request: Request, route: Rule, writer: CallerSink, deadline: number, releaseReservation: () => void): Promise<Outcome> => {
+      const stateMachine = interpret(RequestLife, () => undefined);
+      const prefix = Hash.text(request.prefix);
+      const inFlight: Trip = {
+        ...{ v: request, rule: route, sink: writer, due: deadline, settled: releaseReservation, life: stateMachine, prefix, why: lateVerdict(route) },
         avoid: new Set(),
         handle: null,
         reader: null,
       };
-      const is = (): string => life.machine.current;
-      life.send('turn');
-      life.send('marked');
-      while (is() === 'reading' || is() === 'handing') await (is() === 'reading' ? read(trip) : write(trip));
-      settled();
-      if (is() === 'ended') return { verdict: Verdicts.ran('ran', 'The answer is whole.'), ran: true };
-      return { verdict: trip.why, ran: false };
+      const state = (): string => stateMachine.machine.current;
+      stateMachine.send('turn');
+      stateMachine.send('marked');
+      while (state() === 'reading' || state() === 'handing') await (state() === 'reading' ? prefill(inFlight) : decode(inFlight));
+      releaseReservation();
+      if (state() === 'ended') return { verdict: Verdicts.ran('ran', 'The answer is whole.'), ran: true };
+      return { verdict: inFlight.why, ran: false };
     };
-    const told = (v: Request, verdict: Verdict): void =>
-      world.tell({ what: 'visit', key: v.key, attempt: v.attempt, ran: verdict.ran, code: verdict.code });
-    const end = (v: Request, sink: CallerSink, verdict: Verdict): Verdict => {
-      told(v, verdict);
-      if (verdict.code === 'cut') sink.cut(verdict);
-      else sink.refuse(verdict);
+    const recordOutcome = (request: Request, verdict: Verdict): void =>
+      world.tell({ what: 'visit', key: request.key, attempt: request.attempt, ran: verdict.ran, code: verdict.code });
+    const finish = (request: Request, writer: CallerSink, verdict: Verdict): Verdict => {
+      recordOutcome(request, verdict);
+      if (verdict.code === 'cut') writer.cut(verdict);
+      else writer.refuse(verdict);
       return verdict;
     };
     /** Its turn never came, or it could not be marked in time: the try is closed before the caller is told. */
-    const unmarked = async (
-      v: Request,
-      rule: Rule,
-      book: Book,
-      mine: Turn | null,
+    const closeUnmarked = async (
+      request: Request,
+      route: Rule,
+      record: LedgerRecord,
+      turn: AdmittedTurn | null,
       marked: boolean,
     ): Promise<Verdict> => {
-      mine?.settled();
-      mine?.over();
-      await witness.close(v, book.owners, book.digest);
-      t.pump();
-      return mine && !marked ? Verdicts.not('noledger', 'The request could not be marked as sent.', 1) : late(rule);
+      turn?.settled();
+      turn?.over();
+      await witness.close(request, record.owners, record.digest);
+      deps.grantTurns();
+      return turn && !marked ? Verdicts.not('noledger', 'The request could not be marked as sent.', 1) : lateVerdict(route);
     };
 
-    return async (v: Request, sink: CallerSink): Promise<Verdict> => {
-      const rule = t.admission.check(v);
-      if (rule.err) {
-        await witness.refused(v);
-        return end(v, sink, rule.val);
+    return async (request: Request, writer: CallerSink): Promise<Verdict> => {
+      const route = deps.admission.check(request);
+      if (route.err) {
+        await witness.closeRefused(request);
+        return finish(request, writer, route.val);
       }
-      t.bucket.request();
-      world.tell({ what: 'gated', key: v.key, attempt: v.attempt, rule: rule.val.name });
-      const due = now() + rule.val.deadline;
-      const spot = t.queue.enter(rule.val, due);
-      const book = await witness.open(v);
-      if (book.bad) {
-        spot.leave();
-        return end(v, sink, book.bad);
+      deps.retryBudget.request();
+      world.tell({ what: 'gated', key: request.key, attempt: request.attempt, rule: route.val.name });
+      const deadline = now() + route.val.deadline;
+      const queued = deps.queue.enter(route.val, deadline);
+      const record = await witness.open(request);
+      if (record.rejection) {
+        queued.leave();
+        return finish(request, writer, record.rejection);
       }
-      const { owners, digest } = book;
-      world.tell({ what: 'recorded', key: v.key, attempt: v.attempt, owners: owners.map((o) => o.id) });
-      t.pump();
-      const turn = await spot.turn;
-      const mine = turn ? t.admission.begin(rule.val) : null;
-      const marked = mine && !sink.gone() ? await witness.sent(v, owners, digest) : false;
-      if (!mine || !marked || now() >= due) return end(v, sink, await unmarked(v, rule.val, book, mine, marked));
-      const out = await go(v, rule.val, sink, due, mine.settled);
-      mine.over();
-      t.pump();
-      if (out.ran) {
-        void witness.ran(v, owners, digest);
-        told(v, out.verdict);
-        return out.verdict;
+      const { owners, digest } = record;
+      world.tell({ what: 'recorded', key: request.key, attempt: request.attempt, owners: owners.map((o) => o.id) });
+      deps.grantTurns();
+      const granted = await queued.turn;
+      const turn = granted ? deps.admission.begin(route.val) : null;
+      const marked = turn && !writer.gone() ? await witness.markSent(request, owners, digest) : false;
+      if (!turn || !marked || now() >= deadline) return finish(request, writer, await closeUnmarked(request, route.val, record, turn, marked));
+      const outcome = await runToEnd(request, route.val, writer, deadline, turn.settled);
+      turn.over();
+      deps.grantTurns();
+      if (outcome.ran) {
+        void witness.markRan(request, owners, digest);
+        recordOutcome(request, outcome.verdict);
+        return outcome.verdict;
       }
-      if (out.verdict.ran === 'no') await witness.close(v, owners, digest);
-      return end(v, sink, out.verdict);
+      if (outcome.verdict.ran === 'no') await witness.close(request, owners, digest);
+      return finish(request, writer, outcome.verdict);
     };
   },
 };
--- a/packages/counter/src/runtools.ts
+++ b/packages/counter/src/runtools.ts
@@ -8,23 +8,23 @@
 import type { Choosing } from './choosing.js';
 import type { TownView } from './townview.js';
 import type { Queue } from './queue.js';
-import type { Witnessing } from './witnessing.js';
+import type { LedgerAccess } from './witnessing.js';
 
 /** What the run of a request works with. */
 export type RunTools = {
   world: World;
   admission: Admitting;
   queue: ReturnType<typeof Queue.make>;
-  hands: ReturnType<typeof Queue.make>;
+  decodeQueue: ReturnType<typeof Queue.make>;
   choice: Choosing;
   loads: LoadBook;
   town: TownView;
   hails: Hailing;
-  witness: Witnessing;
-  bucket: ReturnType<typeof Bucket.make>;
+  witness: LedgerAccess;
+  retryBudget: ReturnType<typeof Bucket.make>;
   back: Back;
-  sighted: (s: Listed) => void;
-  pump: () => void;
+  sighted: (server: Listed) => void;
+  grantTurns: () => void;
   version: () => number;
   /** Whether the charter held is surely not an older one than was once held here. */
   sure: () => boolean;
--- a/packages/counter/src/streamcheck.ts
+++ b/packages/counter/src/streamcheck.ts
@@ -1,34 +1,34 @@
 import { createHash } from 'node:crypto';
 import type { Piece } from './piece.js';
 
-type Told = { key: string; attempt: number; born: string };
-type Look =
-  { ok: true; text?: string; n?: number; end?: { count: number; digest: string } } | { ok: false; why: string };
+type ExpectedStream = { key: string; attempt: number; born: string };
+type CheckResult =
+  { ok: true; text?: string; n?: number; end?: { count: number; digest: string } } | { ok: false; reason: string };
 
 /** Holds a stream to its word: this request, this server's life, no gap, no piece twice, and an end that agrees. */
-export const StreamCheck = {
-  make(told: Told) {
+export const StreamValidator = {
+  make(expected: ExpectedStream) {
     const hash = createHash('sha256');
-    let n = 0;
-    let over = false;
+    let lastPiece = 0;
+    let ended = false;
     return {
-      count: (): number => n,
-      over: (): boolean => over,
-      look(p: Piece): Look {
-        if (over) return { ok: false, why: 'a line came after the end' };
-        if (p.key !== told.key || p.attempt !== told.attempt) return { ok: false, why: 'a line of another request' };
-        if (p.born !== told.born) return { ok: false, why: 'a line of another life of the server' };
-        if ('end' in p) {
-          over = true;
+      count: (): number => lastPiece,
+      hasEnded: (): boolean => ended,
+      check(line: Piece): CheckResult {
+        if (ended) return { ok: false, reason: 'a line came after the end' };
+        if (line.key !== expected.key || line.attempt !== expected.attempt) return { ok: false, reason: 'a line of another request' };
+        if (line.born !== expected.born) return { ok: false, reason: 'a line of another life of the server' };
+        if ('end' in line) {
+          ended = true;
           const digest = hash.digest('hex').slice(0, 24);
-          if (p.count !== n) return { ok: false, why: `the end counts ${p.count} pieces, ${n} came` };
-          if (p.digest !== digest) return { ok: false, why: 'the end has another digest' };
-          return { ok: true, end: { count: n, digest } };
+          if (line.count !== lastPiece) return { ok: false, reason: `the end counts ${line.count} pieces, ${lastPiece} came` };
+          if (line.digest !== digest) return { ok: false, reason: 'the end has another digest' };
+          return { ok: true, end: { count: lastPiece, digest } };
         }
-        if (p.n !== n + 1) return { ok: false, why: `piece ${p.n} came after piece ${n}` };
-        n = p.n;
-        hash.update(`${p.n}:${p.text}\n`);
-        return { ok: true, n, text: p.text };
+        if (line.n !== lastPiece + 1) return { ok: false, reason: `piece ${line.n} came after piece ${lastPiece}` };
+        lastPiece = line.n;
+        hash.update(`${line.n}:${line.text}\n`);
+        return { ok: true, n: lastPiece, text: line.text };
       },
     };
   },
--- a/packages/counter/src/takes.test.ts
+++ b/packages/counter/src/takes.test.ts
@@ -16,13 +16,13 @@
 ];
 
 describe('What a generation came to', () => {
-  for (const [name, verdict, text, want] of cases)
+  for (const [name, verdict, text, expected] of cases)
     it(`is told of ${name}`, () => {
-      const t = Takes.make();
+      const answer = Takes.make();
       if (text !== null) {
-        t.sink.piece(1, text);
-        t.sink.end(1, 'd');
+        answer.sink.piece(1, text);
+        answer.sink.end(1, 'd');
       }
-      expect(Takes.outcome(verdict, t)).to.deep.equal(want);
+      expect(Takes.outcome(verdict, answer)).to.deep.equal(expected);
     });
 });
--- a/packages/counter/src/takes.ts
+++ b/packages/counter/src/takes.ts
@@ -2,40 +2,40 @@
 import type { CallerSink } from './callersink.js';
 
 /** The longest text that the core keeps of an answer. */
-const MOST = 4096;
-type Taken = { whole: { count: number; digest: string } | null; text: () => string; sink: CallerSink };
+const MAX_KEPT_TEXT_CHARS = 4096;
+type CollectedAnswer = { completion: { count: number; digest: string } | null; text: () => string; sink: CallerSink };
 type Outcome = { to: 'ran' | 'unrun' | 'unsure'; text?: string; count?: number; digest?: string; why?: string };
 
 /** Takes in one generation's answer, and says what became of it. */
 export const Takes = {
-  make(): Taken {
+  make(): CollectedAnswer {
     const pieces: string[] = [];
-    const t: Taken = {
-      whole: null,
+    const answer: CollectedAnswer = {
+      completion: null,
       text: () => pieces.join(''),
       sink: {
         piece: (_n, text) => {
           pieces.push(text);
         },
         end(count, digest) {
-          t.whole = { count, digest };
+          answer.completion = { count, digest };
         },
         cut: () => undefined,
         refuse: () => undefined,
         gone: () => false,
       },
     };
-    return t;
+    return answer;
   },
   /** Only a whole answer is 'ran', and only a verdict of no is 'unrun'; of one too long, count and digest are kept. */
-  outcome(v: Verdict, t: Taken): Outcome {
-    const why = `${v.code}: ${v.why}`.slice(0, 200);
-    if (t.whole) {
-      const text = t.text();
-      return text.length > MOST
-        ? { to: 'ran', ...t.whole, why: 'too long to be kept' }
-        : { to: 'ran', ...t.whole, text };
+  outcome(verdict: Verdict, answer: CollectedAnswer): Outcome {
+    const reason = `${verdict.code}: ${verdict.why}`.slice(0, 200);
+    if (answer.completion) {
+      const text = answer.text();
+      return text.length > MAX_KEPT_TEXT_CHARS
+        ? { to: 'ran', ...answer.completion, why: 'too long to be kept' }
+        : { to: 'ran', ...answer.completion, text };
     }
-    return v.ran === 'no' ? { to: 'unrun' } : { to: 'unsure', why };
+    return verdict.ran === 'no' ? { to: 'unrun' } : { to: 'unsure', why: reason };
   },
 };
--- a/packages/counter/src/witness.ts
+++ b/packages/counter/src/witness.ts
@@ -10,14 +10,14 @@
   type World,
 } from '@pumicebarrow/forms';
 import type { Static } from 'typebox';
-import { LedgerWords } from './ledgerwords.js';
+import { LedgerMessages } from './ledgerwords.js';
 import type { Request } from './request.js';
 
-type Say = Static<typeof LedgerWords.opened>['say'] | 'lost' | 'unsent';
-type Step = 'sent' | 'closed' | 'ran';
-const ASK = 350;
-const SUSPECT = 3000;
-const DOUBTS = 1024;
+type OpenReply = Static<typeof LedgerMessages.openReply>['say'] | 'lost' | 'unsent';
+type Transition = 'sent' | 'closed' | 'ran';
+const REQUEST_TIMEOUT_MS = 350;
+const SUSPICION_MS = 3000;
+const MAX_SUSPECTED_OWNERS = 1024;
 
 /**
  * The request's side of the ledger. Invariants: nothing goes to a server before both owners pinned at the opening
@@ -25,53 +25,53 @@
  * when an owner may have recorded an opening without our knowing, that try is given up, so that an 'open' record
  * is always one whose mark the sender needs.
  */
-export const Witness = {
-  make(world: World, post: PostBox, roster: () => readonly Ident[], known: () => readonly Ident[] = roster) {
+export const LedgerClient = {
+  make(world: World, post: PostBox, roster: () => readonly Ident[], knownDaemons: () => readonly Ident[] = roster) {
     const { clock } = world;
     /** Owners that did not reply lately. */
-    const doubt = Fading.make<true>(clock.mono, DOUBTS);
-    const rendezvous = (key: string): Ident[] =>
+    const suspected = Fading.make<true>(clock.mono, MAX_SUSPECTED_OWNERS);
+    const rankByKey = (key: string): Ident[] =>
       Lot.rank(
         `key:${key}`,
-        roster().filter((r) => r.role === 'counter' && !doubt.get(`${r.id}/${r.born}`)),
+        roster().filter((r) => r.role === 'counter' && !suspected.get(`${r.id}/${r.born}`)),
         (r) => r.id,
       );
     /**
      * Who may record a request, first those who are to: the two lives that it names, or by rendezvous over the live
      * daemons.
      */
-    const ranked = (v: Request): Ident[] =>
-      v.owners ? known().filter((r) => v.owners!.includes(`${r.id}/${r.born}`)) : rendezvous(v.key);
-    const ask = async (o: Ident, v: Request, digest: string, proven: boolean): Promise<Say> => {
+    const rankOwners = (request: Request): Ident[] =>
+      request.owners ? knownDaemons().filter((r) => request.owners!.includes(`${r.id}/${r.born}`)) : rankByKey(request.key);
+    const askOpen = async (owner: Ident, request: Request, digest: string, proven: boolean): Promise<OpenReply> => {
       const r = await post.ask(
-        o.addr,
-        o.id,
+        owner.addr,
+        owner.id,
         'ledger.open',
-        { key: v.key, attempt: v.attempt, digest, proven, life: o.born },
-        LedgerWords.opened,
-        ASK,
+        { key: request.key, attempt: request.attempt, digest, proven, life: owner.born },
+        LedgerMessages.openReply,
+        REQUEST_TIMEOUT_MS,
       );
       if (r.ok) return r.val.say;
-      doubt.set(`${o.id}/${o.born}`, true, SUSPECT);
+      suspected.set(`${owner.id}/${owner.born}`, true, SUSPICION_MS);
       return r.val === 'lost' ? 'lost' : 'unsent';
     };
-    const step = async (o: Ident, v: Request, digest: string, to: Step): Promise<boolean> => {
+    const askStep = async (owner: Ident, request: Request, digest: string, to: Transition): Promise<boolean> => {
       const r = await post.ask(
-        o.addr,
-        o.id,
+        owner.addr,
+        owner.id,
         'ledger.step',
-        { key: v.key, attempt: v.attempt, digest, to },
-        LedgerWords.stepped,
-        ASK,
+        { key: request.key, attempt: request.attempt, digest, to },
+        LedgerMessages.stepReply,
+        REQUEST_TIMEOUT_MS,
       );
       return r.ok && r.val.ok;
     };
-    const all = async (list: readonly Ident[], v: Request, digest: string, to: Step): Promise<boolean> =>
-      (await Promise.all(list.map((o) => step(o, v, digest, to)))).every((x) => x);
-    const digestOf = (v: Request): string => Hash.text(`${v.rule ?? ''}\n${v.prefix.length}\n${v.prefix}${v.part}`);
+    const stepAll = async (owners: readonly Ident[], request: Request, digest: string, to: Transition): Promise<boolean> =>
+      (await Promise.all(owners.map((owner) => askStep(owner, request, digest, to)))).every((x) => x);
+    const digestOf = (request: Request): string => Hash.text(`${request.rule ?? ''}\n${request.prefix.length}\n${request.prefix}${request.part}`);
 
-    const judge = (says: readonly Say[]): Verdict | null => {
-      const has = (s: Say): boolean => says.includes(s);
+    const rejectionFor = (replies: readonly OpenReply[]): Verdict | null => {
+      const has = (reply: OpenReply): boolean => replies.includes(reply);
       if (has('other')) return Verdicts.not('otherbody', 'This key was used with another body.');
       if (has('ran')) return Verdicts.ran('ran', 'An earlier try of this request ran.');
       if (has('sent')) return Verdicts.maybe('mayhaverun', 'An earlier try of this request may have run.');
@@ -82,41 +82,41 @@
     };
     return {
       /** Two owners are pinned, or the request goes no further. */
-      async open(v: Request): Promise<{ bad: Verdict | null; owners: Ident[]; digest: string }> {
-        const digest = digestOf(v),
-          order = ranked(v);
-        const asked = order.slice(0, v.attempt > 1 ? 3 : 2);
-        const says = await Promise.all(asked.map((o) => ask(o, v, digest, false)));
-        const lit = (): Ident[] => asked.filter((_, i) => says[i] === 'ok');
-        const give = async (bad: Verdict) => {
-          await all(lit(), v, digest, 'closed');
-          return { bad, owners: [], digest };
+      async open(request: Request): Promise<{ rejection: Verdict | null; owners: Ident[]; digest: string }> {
+        const digest = digestOf(request),
+          candidates = rankOwners(request);
+        const askedOwners = candidates.slice(0, request.attempt > 1 ? 3 : 2);
+        const replies = await Promise.all(askedOwners.map((owner) => askOpen(owner, request, digest, false)));
+        const openedOwners = (): Ident[] => askedOwners.filter((_, i) => replies[i] === 'ok');
+        const reject = async (rejection: Verdict) => {
+          await stepAll(openedOwners(), request, digest, 'closed');
+          return { rejection, owners: [], digest };
         };
-        const first = judge(says);
-        if (first) return give(first);
-        if (v.attempt > 1) {
-          if (!says.includes('ok'))
-            return give(Verdicts.maybe('unproven', 'Nothing here proves that the earlier try did not run.'));
-          for (const [i, o] of asked.entries()) if (says[i] === 'unknown') says[i] = await ask(o, v, digest, true);
+        const earlyRejection = rejectionFor(replies);
+        if (earlyRejection) return reject(earlyRejection);
+        if (request.attempt > 1) {
+          if (!replies.includes('ok'))
+            return reject(Verdicts.maybe('unproven', 'Nothing here proves that the earlier try did not run.'));
+          for (const [i, owner] of askedOwners.entries()) if (replies[i] === 'unknown') replies[i] = await askOpen(owner, request, digest, true);
         }
-        for (const o of order.slice(asked.length)) {
-          if (lit().length >= 2 || judge(says)) break;
-          asked.push(o);
-          says.push(await ask(o, v, digest, v.attempt > 1));
+        for (const owner of candidates.slice(askedOwners.length)) {
+          if (openedOwners().length >= 2 || rejectionFor(replies)) break;
+          askedOwners.push(owner);
+          replies.push(await askOpen(owner, request, digest, request.attempt > 1));
         }
-        const late = judge(says);
-        if (late) return give(late);
-        if (lit().length < 2)
-          return give(Verdicts.not('noledger', 'Too few daemons can be reached to record the request.', 1));
-        return { bad: null, owners: lit(), digest };
+        const lateRejection = rejectionFor(replies);
+        if (lateRejection) return reject(lateRejection);
+        if (openedOwners().length < 2)
+          return reject(Verdicts.not('noledger', 'Too few daemons can be reached to record the request.', 1));
+        return { rejection: null, owners: openedOwners(), digest };
       },
-      sent: (v: Request, owners: readonly Ident[], digest: string): Promise<boolean> => all(owners, v, digest, 'sent'),
-      ran: (v: Request, owners: readonly Ident[], digest: string): Promise<boolean> => all(owners, v, digest, 'ran'),
-      close: (v: Request, owners: readonly Ident[], digest: string): Promise<boolean> =>
-        all(owners, v, digest, 'closed'),
+      markSent: (request: Request, owners: readonly Ident[], digest: string): Promise<boolean> => stepAll(owners, request, digest, 'sent'),
+      markRan: (request: Request, owners: readonly Ident[], digest: string): Promise<boolean> => stepAll(owners, request, digest, 'ran'),
+      close: (request: Request, owners: readonly Ident[], digest: string): Promise<boolean> =>
+        stepAll(owners, request, digest, 'closed'),
       /** For a request refused at admission: lets its next try be proven. Never holds the outcome back for long. */
-      async refused(v: Request): Promise<void> {
-        await Timer.within(clock, 150, all(ranked(v).slice(0, 2), v, digestOf(v), 'closed'), () => false);
+      async closeRefused(request: Request): Promise<void> {
+        await Timer.within(clock, 150, stepAll(rankOwners(request).slice(0, 2), request, digestOf(request), 'closed'), () => false);
       },
     };
   },
--- a/packages/counter/src/witnessing.ts
+++ b/packages/counter/src/witnessing.ts
@@ -1,4 +1,4 @@
-import type { Witness } from './witness.js';
+import type { LedgerClient } from './witness.js';
 
 /** The request's side of the ledger, as its run sees it. */
-export type Witnessing = ReturnType<typeof Witness.make>;
+export type LedgerAccess = ReturnType<typeof LedgerClient.make>;
--- a/packages/counter/src/writing.test.ts
+++ b/packages/counter/src/writing.test.ts
@@ -2,37 +2,37 @@
 import { expect } from 'chai';
 import { interpret } from 'robot3';
 import { Loads } from './loads.js';
-import { Reading } from './reading.js';
+import { PrefillRunner } from './reading.js';
 import type { RunTools } from './runtools.js';
-import { Tries } from './tries.js';
+import { RetryPolicy } from './tries.js';
 import type { Trip } from './trip.js';
 import { RequestLife } from './requestlife.js';
-import { Writing } from './writing.js';
+import { DecodeRunner } from './writing.js';
 
 const rule = { name: 'r', weight: 1, urgency: 1, limit: 9, waitlist: 9, deadline: 900, pieces: 2, bytes: 99 } as Rule;
 const servers = ['m1', 'm2', 'm3'].map((id) => ({ id, born: 'x', addr: id, site: 's', mark: 'serving' as const }));
 
 /** Requests that get their turn in one instant, where each server has room for one. */
-const rig = () => {
+const setUp = () => {
   const loads = Loads.make();
-  const met: string[] = [];
-  const least = () => servers.filter((s) => loads.at(s.id) === 0)[0] ?? null;
+  const calledAddresses: string[] = [];
+  const firstIdle = () => servers.filter((s) => loads.at(s.id) === 0)[0] ?? null;
   const jobs: { urgency?: number }[] = [];
-  const call = (addr: string, job: { urgency?: number }) => {
-    met.push(addr);
+  const recordCall = (addr: string, job: { urgency?: number }) => {
+    calledAddresses.push(addr);
     jobs.push(job);
     return new Promise<never>(() => undefined);
   };
-  const t = {
+  const deps = {
     world: { clock: { mono: () => 0, after: () => () => undefined }, tell: () => undefined } as unknown as World,
-    choice: { decode: least, prefill: least, usable: () => servers, roomy: () => true },
-    ...{ loads, town: { good: () => ({}), until: () => 900 }, demand: { read: 0, write: 0 }, pump: () => undefined },
-    hands: { enter: () => ({ turn: Promise.resolve(true), leave: () => undefined }) },
+    choice: { decode: firstIdle, prefill: firstIdle, usable: () => servers, roomy: () => true },
+    ...{ loads, town: { good: () => ({}), until: () => 900 }, demand: { read: 0, write: 0 }, grantTurns: () => undefined },
+    decodeQueue: { enter: () => ({ turn: Promise.resolve(true), leave: () => undefined }) },
     hails: { bound: () => ({ born: 'x', by: 900 }) },
-    back: { decode: call, prefill: call },
-    ...{ bucket: { take: () => false }, sighted: () => undefined, version: () => 1, sure: () => true },
+    back: { decode: recordCall, prefill: recordCall },
+    ...{ retryBudget: { take: () => false }, sighted: () => undefined, version: () => 1, sure: () => true },
   } as unknown as RunTools;
-  const trip = (i: number): Trip => ({
+  const inFlightRequest = (i: number): Trip => ({
     ...{ v: { key: `k${i}`, attempt: 1, prefix: '', part: '' }, rule, due: 900, prefix: '', avoid: new Set<string>() },
     sink: {
       piece: () => undefined,
@@ -47,26 +47,26 @@
     reader: servers[0]!,
     why: Err('x') as never,
   });
-  return { t, jobs, tries: Tries.make(t), trip, met };
+  return { t: deps, jobs, tries: RetryPolicy.make(deps), trip: inFlightRequest, met: calledAddresses };
 };
 
 describe('Requests that have their turn in one instant', () => {
   for (const [name, make] of [
-    ['read', Reading.make],
-    ['written', Writing.make],
+    ['read', PrefillRunner.make],
+    ['written', DecodeRunner.make],
   ] as const) {
     it(`are ${name} each at a server that has room, not all at the one that looked the idlest`, async () => {
-      const r = rig(),
-        go = make(r.t, r.tries);
-      for (let i = 0; i < 3; i++) void go(r.trip(i));
+      const setup = setUp(),
+        run = make(setup.t, setup.tries);
+      for (let i = 0; i < 3; i++) void run(setup.trip(i));
       await new Promise((done) => void setTimeout(done, 0));
-      expect(r.met).to.deep.equal(['m1', 'm2', 'm3']);
+      expect(setup.met).to.deep.equal(['m1', 'm2', 'm3']);
     });
     it(`are ${name} with the urgency that they have at the server, live ones with none`, async () => {
-      const r = rig();
-      for (const t of [r.t, { ...r.t, urgency: 0 }]) void make(t, r.tries)(r.trip(r.jobs.length));
+      const setup = setUp();
+      for (const deps of [setup.t, { ...setup.t, urgency: 0 }]) void make(deps, setup.tries)(setup.trip(setup.jobs.length));
       await new Promise((done) => void setTimeout(done, 0));
-      expect(r.jobs.map((j) => j.urgency)).to.deep.equal([undefined, 0]);
+      expect(setup.jobs.map((j) => j.urgency)).to.deep.equal([undefined, 0]);
     });
   }
 });
