--- a/packages/counter/src/answerline.ts
+++ b/packages/counter/src/answerline.ts
@@ -4,8 +4,9 @@
 const strict = { additionalProperties: false } as const;
 
 /**
- * One line of what a caller is streamed. Invariant: exactly one line with `end` or `cut`, the last; a torn
- * connection has none.
+ * One line of the NDJSON response that a client receives: a numbered piece of the answer, the end with its piece count
+ * and digest, or a truncation (`cut`) with its verdict. Invariant: exactly one line has `end` or `cut`, and it is the
+ * last; a response whose connection broke has neither.
  */
 export const AnswerLine = Type.Union([
   Type.Object({ n: Type.Integer({ minimum: 1 }), text: Type.String() }, strict),
--- a/packages/counter/src/back.ts
+++ b/packages/counter/src/back.ts
@@ -7,7 +7,10 @@
 import type { Piece } from './piece.js';
 import type { RequestJob } from './requestjob.js';
 
-/** How model servers are reached. A stream gives pieces as they come; it ends with null, or with a fault. */
+/**
+ * Client of the model servers. `decode` passes each line of the stream to `onLine` as it arrives (false ends the
+ * stream) and resolves to null at the end of the stream, or to a fault.
+ */
 export type Back = {
   prefill(
     addr: string,
--- a/packages/counter/src/backfault.ts
+++ b/packages/counter/src/backfault.ts
@@ -1,4 +1,7 @@
-/** Why a server did not do as asked. `ran: 'no'` only on proof. `dark`: it did not reply at all. */
+/**
+ * Why a model server did not carry out a request. `ran` is 'no' only if that is proven. `dark`: the server did not
+ * reply at all. `why`: the reason in words.
+ */
 export type BackFault = {
   ran: 'no' | 'maybe';
   code: 'unreached' | 'busy' | 'wrongpart' | 'lapsed' | 'broken' | 'old' | 'late' | 'bad';
--- a/packages/counter/src/backstate.ts
+++ b/packages/counter/src/backstate.ts
@@ -1,6 +1,6 @@
 import { Type, type Static } from 'typebox';
 
-/** What a server says of itself. */
+/** State that a model server reports about itself. `born` is its incarnation, `part` its stage (prefill or decode). */
 export const BackState = Type.Object(
   {
     id: Type.String(),
--- a/packages/counter/src/bodyreader.ts
+++ b/packages/counter/src/bodyreader.ts
@@ -2,7 +2,7 @@
 
 type Body = AsyncIterable<Buffer> & { destroy(): unknown };
 
-/** Reads a reply's body as JSON. Invariant: no more than `most` bytes are ever held, whatever the other side sends. */
+/** Reads a response body as JSON. Invariant: never buffers more than `maxBytes`, whatever is sent. */
 export const BodyReader = {
   async json(body: Body, maxBytes: number): Promise<Result<unknown, 'large' | 'json'>> {
     const chunks: Buffer[] = [];
--- a/packages/counter/src/callersink.ts
+++ b/packages/counter/src/callersink.ts
@@ -1,8 +1,8 @@
 import type { Verdict } from '@pumicebarrow/forms';
 
 /**
- * Where a request's answer goes. Invariant: pieces come numbered from 1 without a gap, and at most one of
- * `end`, `cut` and `refuse` is called, once; `refuse` only before the first piece.
+ * Destination of the response to a client request. Invariant: pieces are numbered from 1 without a gap, and at most
+ * one of `end`, `abort` and `refuse` is called, once; `refuse` only before the first piece.
  */
 export type CallerSink = {
   piece(n: number, text: string): void;
--- a/packages/counter/src/counter.ts
+++ b/packages/counter/src/counter.ts
@@ -34,11 +34,11 @@
 import { Queue } from './queue.js';
 import { LedgerClient } from './witness.js';
 
-/** Extra tries: so many a request, and so many saved at the most. */
+/** Retry budget: tokens gained per request, and the most that can be saved up. */
 const RETRY_TOKENS_PER_REQUEST = 0.2;
 const MAX_RETRY_TOKENS = 3;
 
-/** A counter daemon put together: purge, ledger, casting and the requests' path. */
+/** Assembles a counter daemon: gossip, request ledger, stage assignment and the path of requests. */
 export const Counter = {
   make(outerWorld: World, settings: CounterSettings, modelServers: Back, inventorySource: Town) {
     const { clock } = outerWorld;
@@ -54,8 +54,8 @@
     };
     const self = (): Ident => ident;
     const stateMachine = interpret(DaemonLife, () => undefined);
-    const lifecycleState = (): string => stateMachine.machine.current,
-      serving = (): boolean => lifecycleState() === 'serving';
+    const state = (): string => stateMachine.machine.current,
+      serving = (): boolean => state() === 'serving';
     const post = Post.make(world, self);
     const recordStore = Shelf.make(RecordCheck.doc);
     const seeds = (): readonly string[] => settings.seeds;
@@ -64,21 +64,22 @@
       ...checkin.roster(),
     ]);
     const controlClient = ControlClient.make(world, post, () => [...seeds(), ...purge.peers().map((p) => p.addr)]);
-    const fleetRecords = Sheet.make(recordStore);
-    let confirmedNewest = false;
-    const knownDaemons = (): readonly Ident[] => {
+    const sheet = Sheet.make(recordStore);
+    let confirmed = false;
+    const known = (): readonly Ident[] => {
       const all = new Map(
         [...purge.peers().filter((p) => p.role === 'counter'), ...checkin.roster(), ident].map((p) => [p.id, p]),
       );
       return [...all.values()];
     };
-    const liveDaemons = (): readonly Ident[] => (checkin.roster().some((r) => r.id === ident.id) ? checkin.roster() : knownDaemons());
-    const inventory = TownWatch.make(
+    const roster = (): readonly Ident[] =>
+      checkin.roster().some((r) => r.id === ident.id) ? checkin.roster() : known();
+    const town = TownWatch.make(
       world,
       post,
       inventorySource,
-      () => knownDaemons().filter((p) => p.id !== ident.id),
-      () => suspendDetector.look(),
+      () => known().filter((p) => p.id !== ident.id),
+      () => suspension.look(),
     );
     const ledger = Ledger.make(clock);
     LedgerHandler.make(post, ledger, self);
@@ -86,69 +87,101 @@
       ejections = Shuns.make(clock),
       queue = Queue.make(clock),
       decodeQueue = Queue.make(clock);
-    const serverClocks = Hails.make(
+    const hails = Hails.make(
       clock,
       modelServers,
-      () => inventory.all(),
-      () => suspendDetector.look(),
+      () => town.all(),
+      () => suspension.look(),
     );
-    const serverPicker = Choice.make({ hails: serverClocks, sheet: fleetRecords, town: inventory, loads, shuns: ejections, roster: liveDaemons });
+    const choice = Choice.make({ hails, sheet, town, loads, shuns: ejections, roster });
     const demand = { read: 0, write: 0 };
-    /** Requests at admission are wanting for readers only if it is the readers that have no room. */
+    /** Requests queued at admission count as demand for prefill only if the prefill servers have no free capacity. */
     const demandNow = () => ({
-      read: demand.read + (serverPicker.roomy('prefill', { weight: 1 }, '*turn') ? 0 : queue.weight()),
+      read: demand.read + (choice.roomy('prefill', { weight: 1 }, '*turn') ? 0 : queue.weight()),
       write: demand.write,
     });
-    const catchUp = Newest.make({ world, post, line: controlClient, purge, shelf: recordStore, self, known: knownDaemons, slept: () => suspendDetector.slept() });
-    const checkin = Checkin.make({ clock, line: controlClient, sheet: fleetRecords, shelf: recordStore, newest: catchUp, demand: demandNow });
-    const suspendDetector = Awake.make(clock, () => {
-      leases.drop();
-      inventory.drop();
-      serverClocks.drop();
+    const newest = Newest.make({
+      ...{ world, post, purge, self, known, slept: () => suspension.slept() },
+      line: controlClient,
+      shelf: recordStore,
+    });
+    const checkin = Checkin.make({ clock, line: controlClient, sheet, shelf: recordStore, newest, demand: demandNow });
+    const suspension = Awake.make(clock, () => {
+      duty.drop();
+      town.drop();
+      hails.drop();
       lending.drop();
-      confirmedNewest = false;
-      if (lifecycleState() !== 'serving') return;
-      log.warn('This daemon slept. Asking for the newest charter.');
+      confirmed = false;
+      if (state() !== 'serving') return;
+      log.warn('The process was suspended. Confirming the newest configuration before serving again.');
       world.tell({ what: 'woke' });
       stateMachine.send('woke');
       void becomeServing();
     });
-    const admissionRefusal = (): Verdict | null => {
-      suspendDetector.look();
-      if (lifecycleState() === 'serving') return null;
+    const refusal = (): Verdict | null => {
+      suspension.look();
+      if (state() === 'serving') return null;
       return Verdicts.not(
-        lifecycleState() === 'asking' ? 'asking' : 'leaving',
-        lifecycleState() === 'asking' ? 'This daemon is learning the newest charter.' : 'This daemon is leaving.',
+        state() === 'asking' ? 'asking' : 'leaving',
+        state() === 'asking' ? 'This daemon is confirming the newest configuration.' : 'This daemon is shutting down.',
         1,
       );
     };
-    const admissionInputs = { site: ident.site, charter: fleetRecords.charter, open: admissionRefusal, young: inventory.young };
-    const admission = Admission.make({ ...admissionInputs, queue, choice: serverPicker, loads });
-    const grantTurns = TurnGranter.make({ clock, queue, decodeQueue, admission, choice: serverPicker, loads, serving });
-    const leases = Duty.make(world, controlClient, self, liveDaemons, () => suspendDetector.look());
-    const failureReports = Sights.make({ world, shelf: recordStore, sheet: fleetRecords, shuns: ejections, purge, town: inventory, self: ident.id });
-    const stageInputs = { world, sheet: fleetRecords, town: inventory, hails: serverClocks, duty: leases, purge, back: modelServers, self: (): string => ident.id };
-    const stageAssigner = Casting.make({ ...stageInputs, suspect: (s) => ejections.has(s.id, s.born) });
-    const stageBalancer = Mixer.make({ ...stageInputs, load: () => checkin.load() });
-    const ledgerClient = LedgerClient.make(world, post, liveDaemons, knownDaemons);
+    const admissionDeps = { site: ident.site, charter: sheet.charter, open: refusal, young: town.young };
+    const admission = Admission.make({ ...admissionDeps, queue, choice, loads });
+    const grantTurns = TurnGranter.make({ clock, queue, decodeQueue, admission, choice, loads, serving });
+    const duty = Duty.make(world, controlClient, self, roster, () => suspension.look());
+    const failureReports = Sights.make({
+      world,
+      shelf: recordStore,
+      sheet,
+      shuns: ejections,
+      purge,
+      town,
+      self: ident.id,
+    });
+    const shared = { world, sheet, town, hails, duty, purge, back: modelServers, self: (): string => ident.id };
+    const stageAssigner = Casting.make({ ...shared, suspect: (s) => ejections.has(s.id, s.born) });
+    const stageBalancer = Mixer.make({ ...shared, load: () => checkin.load() });
+    const witness = LedgerClient.make(world, post, roster, known);
     const retryBudget = Bucket.make(RETRY_TOKENS_PER_REQUEST, MAX_RETRY_TOKENS);
-    /** A daemon that has just started, or slept, may hold an older charter than it once did. */
-    const isConfirmedNewest = (): boolean => {
-      suspendDetector.look();
-      return confirmedNewest;
+    /** After a start or a suspension, the local configuration may be older than one held before. */
+    const sure = (): boolean => {
+      suspension.look();
+      return confirmed;
+    };
+    const queues = { queue, decodeQueue, choice, loads };
+    const runDeps = {
+      ...shared,
+      ...queues,
+      admission,
+      witness,
+      retryBudget,
+      sighted: failureReports.saw,
+      grantTurns,
+      demand,
     };
-    const queues = { queue, decodeQueue, choice: serverPicker, loads };
-    const runnerInputs = { ...stageInputs, ...queues, admission, witness: ledgerClient, retryBudget, sighted: failureReports.saw, grantTurns, demand };
-    const enterDecodeQueue: typeof decodeQueue.enter = (route, deadline) => {
+    const enter: typeof decodeQueue.enter = (route, deadline) => {
       lending.handed(route);
       return decodeQueue.enter(route, deadline);
     };
-    const request = RequestRunner.make({ ...runnerInputs, decodeQueue: { ...decodeQueue, enter: enterDecodeQueue }, version: fleetRecords.version, sure: isConfirmedNewest });
-    const lendingInputs = { look: () => suspendDetector.look(), load: () => checkin.load(), roster: liveDaemons, version: fleetRecords.version, sure: isConfirmedNewest };
+    const request = RequestRunner.make({
+      ...runDeps,
+      decodeQueue: { ...decodeQueue, enter },
+      version: sheet.version,
+      sure,
+    });
+    const lendingDeps = {
+      look: () => suspension.look(),
+      load: () => checkin.load(),
+      roster,
+      version: sheet.version,
+      sure,
+    };
     const lending = Lending.make({
-      ...runnerInputs,
-      ...admissionInputs,
-      ...lendingInputs,
+      ...runDeps,
+      ...admissionDeps,
+      ...lendingDeps,
       post,
       line: controlClient,
       shelf: recordStore,
@@ -158,65 +191,65 @@
     const stopTimers: (() => void)[] = [];
 
     RecordChangeHandler.make({ log, recordStore, grantTurns, stageAssigner, ejections, failureReports });
-    inventory.heed(() => {
-      serverClocks.tick();
+    town.heed(() => {
+      hails.tick();
       grantTurns();
     });
     const becomeServing = async (): Promise<void> => {
-      while (lifecycleState() === 'asking') {
-        const confirmed = await catchUp.sure();
-        if (confirmed && lifecycleState() === 'asking') {
-          confirmedNewest = true;
+      while (state() === 'asking') {
+        const isNewest = await newest.sure();
+        if (isNewest && state() === 'asking') {
+          confirmed = true;
           stateMachine.send('sure');
           log.say('Serving.');
-          world.tell({ what: 'serving', version: fleetRecords.version() });
+          world.tell({ what: 'serving', version: sheet.version() });
           grantTurns();
           return;
         }
         await Timer.nap(clock, 150);
       }
     };
-    const recentDaemons = Met.make(clock, knownDaemons);
+    const met = Met.make(clock, known);
     const checkIn = async (): Promise<void> => {
-      recentDaemons.tick();
-      if (lifecycleState() !== 'draining' && lifecycleState() !== 'stopped') await checkin.tick();
+      met.tick();
+      if (state() !== 'draining' && state() !== 'stopped') await checkin.tick();
     };
-    TraceDesk.make(post, self, purge, recordStore, isConfirmedNewest);
+    TraceDesk.make(post, self, purge, recordStore, sure);
     Introducer.make({ clock: world.clock, post, me: self, view: controlClient.view });
     RequestDesk.make(post, requestLog, ledger);
-    const components = { ident, admission, post, line: controlClient, purge, shelf: recordStore, sheet: fleetRecords, watch: inventory, ledger, duty: leases, ejections: ejections, lending };
+    const components = { ident, admission, post, line: controlClient, purge, shelf: recordStore, sheet, watch: town };
     return {
       ...components,
-      ...{ roster: liveDaemons, met: recentDaemons.all, life: lifecycleState },
+      ...{ ledger, duty, ejections, lending, roster, met: met.all, life: state },
       request(clientRequest: Request, writer: CallerSink): Promise<Verdict> {
         lending.arrived(clientRequest.rule);
         return request(clientRequest, writer);
       },
-      /** Two lives that a caller may name as the owners of a request. */
+      /** Two daemons (id/incarnation) that a client may name as the owners of a request. */
       owners: (): string[] =>
         Dice.some(
           world.chance,
-          liveDaemons().filter((r) => r.role === 'counter'),
+          roster().filter((r) => r.role === 'counter'),
           2,
         ).map((r) => `${r.id}/${r.born}`),
-      /** The charter's version; null while this daemon can't tell. */
-      version: (): number | null => (isConfirmedNewest() ? fleetRecords.version() : null),
+      /** Version of the configuration; null while it is not confirmed to be the newest. */
+      version: (): number | null => (sure() ? sheet.version() : null),
       waiting: queue.total,
       under: admission.under,
       level: retryBudget.level,
       start(): void {
         stateMachine.send('begin');
-        suspendDetector.start();
+        suspension.start();
         purge.start();
-        inventory.start();
-        serverClocks.start();
+        town.start();
+        hails.start();
         lending.start();
         void becomeServing();
         stopTimers.push(Timer.every(clock, 400, checkIn));
         stopTimers.push(
           Timer.every(clock, 300, async () => {
-            if (lifecycleState() !== 'serving') return;
-            leases.tick([...stageAssigner.names(), stageBalancer.name, ...lending.names()]);
+            if (state() !== 'serving') return;
+            duty.tick([...stageAssigner.names(), stageBalancer.name, ...lending.names()]);
             stageBalancer.tick();
             void lending.tick();
             await stageAssigner.tick();
@@ -224,23 +257,23 @@
         );
         stopTimers.push(Timer.every(clock, 50, grantTurns));
       },
-      /** Stops letting requests in, lets those under way end, gives up its leases. */
+      /** Stops accepting requests, lets those in flight finish, and gives up the leases of this daemon. */
       async leave(graceMs: number): Promise<void> {
         stateMachine.send('leave');
-        log.say('Leaving: no more requests are let in.');
+        log.say('Shutting down: no more requests are accepted.');
         queue.clear();
         const deadline = clock.mono() + graceMs;
         await lending.leave(Math.min(deadline, clock.mono() + graceMs / 2));
-        await controlClient.leave(leases.names());
-        leases.drop();
+        await controlClient.leave(duty.names());
+        duty.drop();
         while (admission.under() > 0 && clock.mono() < deadline) await Timer.nap(clock, 50);
         stateMachine.send('empty');
       },
       stop(): void {
         for (const s of stopTimers) s();
-        suspendDetector.stop();
-        inventory.stop();
-        serverClocks.stop();
+        suspension.stop();
+        town.stop();
+        hails.stop();
         lending.stop();
         purge.stop();
         post.close();
--- a/packages/counter/src/countersettings.ts
+++ b/packages/counter/src/countersettings.ts
@@ -1,6 +1,6 @@
 import type { Tunes } from '@pumicebarrow/purge';
 
-/** What a counter daemon is started with. */
+/** Start-up settings of a counter daemon. `control` enables the operator API; `tunes` holds the gossip settings. */
 export type CounterSettings = {
   id: string;
   addr: string;
--- a/packages/counter/src/daemonlife.ts
+++ b/packages/counter/src/daemonlife.ts
@@ -1,8 +1,8 @@
 import { createMachine, state, transition } from 'robot3';
 
 /**
- * The life of a counter daemon. Requests come in only while 'serving'. A start and a wake both lead through 'asking',
- * in which the newest charter is sought before anything is served.
+ * Lifecycle state machine of a counter daemon. Requests are accepted only in 'serving'. After a start, and after the
+ * process was suspended ('woke'), the daemon first has to confirm the newest configuration ('asking').
  */
 export const DaemonLife = createMachine('starting', {
   starting: state(transition('begin', 'asking'), transition('leave', 'draining')),
--- a/packages/counter/src/entry.ts
+++ b/packages/counter/src/entry.ts
@@ -1,7 +1,8 @@
 /**
- * What a ledger owner holds of one key. Invariants: `attempt` only rises; 'sent' is reached from 'open' only,
- * so a try whose mark was never acknowledged here was never sent by a daemon that needs this owner's word.
- * `state` 'closed' means that try, and every one before it, did not run and will not.
+ * What a ledger owner stores for one key. Invariants: `attempt` only increases; 'sent' is reached from 'open' only, so
+ * an attempt whose 'sent' mark this owner never acknowledged was not sent by any daemon that needs this owner's
+ * acknowledgement. State 'closed': this attempt and all earlier ones did not run and never will. `by` is the daemon
+ * (id/incarnation) that recorded this state's attempt.
  */
 export type LedgerEntry = {
   digest: string;
--- a/packages/counter/src/front.test.ts
+++ b/packages/counter/src/front.test.ts
@@ -14,7 +14,7 @@
     setImmediate(done);
   });
 
-/** Says something, and gives the first that is heard back. */
+/** Sends a text and resolves to the first data received. */
 const exchange = (socket: Socket, text: string): Promise<string> =>
   new Promise((done) => {
     socket.once('data', (data: Buffer) => {
@@ -24,7 +24,7 @@
     socket.write(text);
   });
 
-/** A daemon's HTTP side before a stand-in for the daemon, which deals with each request as it is told to. */
+/** Starts the HTTP server of a daemon with a stub daemon that handles each request with `handleRequest`. */
 const startServer = async (handleRequest: (sink: CallerSink) => Promise<void>) => {
   const daemon = {
     request: async (_v: unknown, sink: CallerSink) => {
@@ -45,8 +45,8 @@
   }
 };
 
-describe('A caller over a real socket', () => {
-  it('that does not read is torn off, with little held for it', async () => {
+describe('CounterHttpServer over a real socket: a client', () => {
+  it('that does not read is disconnected, with little buffered for it', async () => {
     let sent = 0;
     let gone = false;
     const { front, dial } = await startServer(async (sink) => {
@@ -67,7 +67,7 @@
     socket.destroy();
     await front.close();
   });
-  it('that hangs up is known to be gone', async () => {
+  it('that disconnects is detected as gone', async () => {
     let gone = false;
     let started = false;
     const { front, dial } = await startServer(async (sink) => {
@@ -89,7 +89,7 @@
     ['half its headers', 'POST /visit HTTP/1.1\r\nhost: x\r\n'],
   ];
   for (const [name, text] of unfinished) {
-    it(`that sends ${name} and no more is let go of, and starts nothing`, async () => {
+    it(`that sends ${name} and no more is disconnected, and no request starts`, async () => {
       let started = false;
       const { front, dial } = await startServer(() => {
         started = true;
@@ -109,7 +109,7 @@
       await front.close();
     });
   }
-  it('that sends bytes that are not UTF-8 is told so, and starts nothing', async () => {
+  it('that sends bytes that are not UTF-8 gets status 400, and no request starts', async () => {
     let started = false;
     const { front, dial } = await startServer(() => {
       started = true;
@@ -134,19 +134,19 @@
   });
   const wrong: [string, string, number, string][] = [
     ['an empty body', '', 400, '/key'],
-    ['no JSON', '{', 400, 'json'],
+    ['a body that is not JSON', '{', 400, 'json'],
     ['a list', '[]', 400, 'bad'],
     ['an unknown key', JSON.stringify({ ...validRequest, more: 1 }), 400, '/more'],
     ['an attempt of 0', JSON.stringify({ ...validRequest, attempt: 0 }), 400, '/attempt'],
-    ['an attempt that is no number', JSON.stringify({ ...validRequest, attempt: '1' }), 400, '/attempt'],
-    ['a key with blanks', JSON.stringify({ ...validRequest, key: 'a b' }), 400, '/key'],
+    ['an attempt that is not a number', JSON.stringify({ ...validRequest, attempt: '1' }), 400, '/attempt'],
+    ['a key with a space', JSON.stringify({ ...validRequest, key: 'a b' }), 400, '/key'],
     ['a key too long', JSON.stringify({ ...validRequest, key: 'k'.repeat(121) }), 400, '/key'],
     ['one owner', JSON.stringify({ ...validRequest, owners: ['e1/b'] }), 400, '/owners'],
-    ['two faults, both told', JSON.stringify({ ...validRequest, key: '', attempt: 0 }), 400, '/attempt'],
+    ['two faults, both reported', JSON.stringify({ ...validRequest, key: '', attempt: 0 }), 400, '/attempt'],
     ['a prefix too long', JSON.stringify({ ...validRequest, prefix: 'p'.repeat(4194305) }), 400, '/prefix'],
   ];
   for (const [name, body, status, expected] of wrong) {
-    it(`that sends ${name} is told what is wrong, and starts nothing`, async () => {
+    it(`that sends ${name} is told what is wrong, and no request starts`, async () => {
       let started = false;
       const { front, dial } = await startServer(() => {
         started = true;
@@ -159,13 +159,13 @@
       await front.close();
     });
   }
-  it('that uses another method is told 404 or 405, and starts nothing', async () => {
+  it('that uses another method gets 404 or 405, and no request starts', async () => {
     const { front, dial } = await startServer(() => Promise.reject(new Error('begun')));
     for (const method of ['GET', 'PUT', 'DELETE'])
       expect(await exchange(dial(), `${method} /visit HTTP/1.1\r\nhost: x\r\n\r\n`)).to.match(/^HTTP\/1.1 40[45]/);
     await front.close();
   });
-  it('that sends a body without end is told that it is too large, and let go of', async () => {
+  it('that sends an endless body gets status 413 and is disconnected', async () => {
     const { front, dial } = await startServer(() => Promise.resolve());
     const socket = dial();
     let reply = '';
--- a/packages/counter/src/front.ts
+++ b/packages/counter/src/front.ts
@@ -6,6 +6,7 @@
 import type { Counting } from './counting.js';
 import { Request } from './request.js';
 
+/** HTTP status by verdict code; other codes give 502 if the request may have run, else 503. */
 const STATUS_BY_CODE: Record<string, number> = {
   bad: 400,
   json: 400,
@@ -25,10 +26,10 @@
   notlent: 409,
 };
 const MAX_REQUEST_BODY_BYTES = 9 * 1024 * 1024;
-/** What is held for a caller that reads slowly, and how long one may take to send a request. */
+/** Limit on the response data buffered for a slow client, and the time in which a client must send its request. */
 const LIMITS = { maxBufferedBytes: 1024 * 1024, receiveTimeoutMs: 15_000 };
 
-/** The daemon's HTTP side: requests, health, metrics and, where it is served, control. */
+/** HTTP server of the daemon: client requests, health, metrics and, if enabled, the operator API. */
 export const Front = {
   sendVerdict(res: ServerResponse, body: { verdict: Verdict }): void {
     const verdict = body.verdict,
@@ -40,7 +41,10 @@
     });
     res.end(JSON.stringify(body));
   },
-  /** Invariant: what a caller has not read yet is bounded; one that stays behind is torn off, and so knows. */
+  /**
+   * Invariant: data that the client has not read yet is bounded; the connection of a client that falls further behind
+   * is destroyed, which the client notices.
+   */
   responseWriter(res: ServerResponse, maxBufferedBytes = LIMITS.maxBufferedBytes): CallerSink {
     const writeLine = (value: unknown): void => {
       if (res.destroyed) return;
@@ -87,7 +91,7 @@
     const readBody = async (req: IncomingMessage, res: ServerResponse): Promise<{ value: unknown } | null> => {
       const content = await JsonBody.read(req, MAX_REQUEST_BODY_BYTES);
       if (content.ok) return { value: content.val };
-      // What is still to come of a body that is too large is not read.
+      // The rest of a body that is too large is not read.
       if (content.val === 'large') res.once('finish', () => req.destroy());
       Front.sendVerdict(res, {
         verdict: Verdicts.not(
@@ -116,7 +120,13 @@
     app.get('/health', (_req, res) => {
       const isServing = daemon.life() === 'serving';
       res.writeHead(isServing ? 200 : 503, { 'content-type': 'application/json' });
-      res.end(JSON.stringify({ life: daemon.life(), version: daemon.version(), list: daemon.watch.young() ? 'young' : 'old' }));
+      res.end(
+        JSON.stringify({
+          life: daemon.life(),
+          version: daemon.version(),
+          list: daemon.watch.young() ? 'young' : 'old',
+        }),
+      );
     });
     WebHost.metrics(app, metrics);
     if (servesOperatorApi) {
--- a/packages/counter/src/handle.ts
+++ b/packages/counter/src/handle.ts
@@ -2,8 +2,9 @@
 import { Type, type Static } from 'typebox';
 
 /**
- * A hold on prompt memory. Invariant: good only for this key and attempt, at this life of this server,
- * for exactly this prefix and part; checked here and by the decode server.
+ * Reference to the KV cache that a prefill server computed for a prompt. Invariant: valid only for this key and
+ * attempt, this incarnation (`born`) of the server, and exactly this prefix and part (`digest`); this is checked by the
+ * daemon and by the decode server.
  */
 export const Handle = Type.Object(
   {
--- a/packages/counter/src/hearing.ts
+++ b/packages/counter/src/hearing.ts
@@ -14,12 +14,12 @@
   failureReports: ReturnType<typeof Sights.make>;
 };
 
-/** What a daemon does about each version that comes to its shelf. */
+/** Reacts to each new version of a record in the local record store. */
 export const RecordChangeHandler = {
   make({ log, recordStore, grantTurns, stageAssigner, ejections, failureReports }: Dependencies): void {
     recordStore.heed((doc, previous) => {
       if (doc.name === 'charter') {
-        log.say(`Charter ${doc.mark[0]} has taken hold.`);
+        log.say(`Configuration version ${doc.mark[0]} is now in force.`);
         grantTurns();
       }
       if (doc.name.startsWith('row:')) {
--- a/packages/counter/src/httpback.test.ts
+++ b/packages/counter/src/httpback.test.ts
@@ -10,8 +10,10 @@
 const chunk = (server: string): string => `${Buffer.byteLength(server).toString(16)}\r\n${server}\r\n`;
 type Behavior = (socket: Socket, n: number) => void;
 
-/** A raw server that deals with the n-th connection's first bytes as it is told to. */
-const startRawServer = async (behave: Behavior): Promise<{ addr: string; met: () => number; close: () => Promise<void> }> => {
+/** Starts a raw TCP server that calls `behave` with a running number for each chunk of data received. */
+const startRawServer = async (
+  behave: Behavior,
+): Promise<{ addr: string; met: () => number; close: () => Promise<void> }> => {
   const open = new Set<Socket>();
   let requestCount = 0;
   const server: Server = createServer((socket) => {
@@ -42,7 +44,7 @@
     (server) => server.resetAndDestroy(),
     { ran: 'maybe', code: 'broken', pieces: 0 },
   ],
-  ['ends the connection without a word', (server) => server.end(), { ran: 'maybe', code: 'broken', pieces: 0 }],
+  ['ends the connection without a reply', (server) => server.end(), { ran: 'maybe', code: 'broken', pieces: 0 }],
   [
     'sends headers and stops',
     (server) => {
@@ -73,7 +75,7 @@
     { ran: 'maybe', code: 'broken', pieces: 0 },
   ],
   [
-    'gives a body without end where it turns work away',
+    'sends an endless body with a rejection',
     (server) => {
       server.write(`HTTP/1.1 409 Conflict\r\ntransfer-encoding: chunked\r\n\r\n${chunk('[')}`);
       for (let i = 0; i < 64; i++) server.write(chunk('1,'.repeat(32768)));
@@ -81,14 +83,14 @@
     { ran: 'maybe', code: 'broken', pieces: 0 },
   ],
   [
-    'turns it away in words',
+    'rejects the job with a known code',
     (server) => {
       server.end('HTTP/1.1 409 Conflict\r\ncontent-length: 15\r\n\r\n{"code":"busy"}');
     },
     { ran: 'no', code: 'busy', pieces: 0 },
   ],
   [
-    'turns it away in no words of ours',
+    'rejects the job without a known code',
     (server) => {
       server.end('HTTP/1.1 503 No\r\ncontent-length: 2\r\n\r\n{}');
     },
@@ -96,7 +98,7 @@
   ],
 ];
 
-describe('A server over a real socket', () => {
+describe('HttpModelServerClient over a real socket: a server', () => {
   for (const [name, behave, expected] of cases) {
     it(`that ${name} gives '${expected.ran} ${expected.code}'`, async () => {
       const server = await startRawServer(behave),
@@ -107,14 +109,16 @@
         return true;
       });
       expect(result.err).to.equal(true);
-      expect({ ran: (result.val as { ran: string }).ran, code: (result.val as { code: string }).code, pieces }).to.deep.equal(
-        expected,
-      );
+      expect({
+        ran: (result.val as { ran: string }).ran,
+        code: (result.val as { code: string }).code,
+        pieces,
+      }).to.deep.equal(expected);
       await client.close();
       await server.close();
     });
   }
-  it('that is not there gives proof that nothing ran', async () => {
+  it('that refuses the connection gives proof that nothing ran', async () => {
     const server = await startRawServer(() => undefined);
     await server.close();
     const client = HttpBack.make(),
@@ -138,7 +142,7 @@
       await server.close();
     });
   }
-  it('that replies without end is read no further than a fixed size', async () => {
+  it('that sends an endless reply is read only up to a fixed size', async () => {
     let socket: Socket | null = null;
     const server = await startRawServer((x) => {
       x.write(`HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n${chunk('[')}`);
@@ -157,7 +161,7 @@
     await client.close();
     await server.close();
   });
-  it('is sent everything at once: nothing waits behind other work in the client', async () => {
+  it('is sent 300 requests at once: none waits in the client for another to finish', async () => {
     const server = await startRawServer(() => undefined),
       client = HttpBack.make();
     const calls = Array.from({ length: 300 }, () => client.decode(server.addr, job, 5000, () => true));
--- a/packages/counter/src/httpback.ts
+++ b/packages/counter/src/httpback.ts
@@ -11,13 +11,23 @@
 import { Piece } from './piece.js';
 
 const MAX_REPLY_BYTES = 1024 * 1024;
+/** Limit for one line of a decode stream, and for the body of a rejected decode request. */
 const MAX_LINE_BYTES = 64 * 1024;
 const REJECTION_CODES = ['busy', 'wrongpart', 'lapsed', 'old', 'late', 'bad'] as const;
-const NO_REPLY_CODES = ['UND_ERR_HEADERS_TIMEOUT', 'UND_ERR_BODY_TIMEOUT', 'UND_ERR_SOCKET', 'ECONNRESET', 'UND_ERR_ABORTED'];
-const errorCode = (error: unknown): string => (error as { code?: string }).code ?? String((error as Error).message ?? error);
-const brokenStream = (reason: string): Result<never, BackFault> => Err({ ran: 'maybe', code: 'broken', dark: false, why: reason });
+/** Error codes that mean that the server stopped replying. */
+const NO_REPLY_CODES = [
+  'UND_ERR_HEADERS_TIMEOUT',
+  'UND_ERR_BODY_TIMEOUT',
+  'UND_ERR_SOCKET',
+  'ECONNRESET',
+  'UND_ERR_ABORTED',
+];
+const errorCode = (error: unknown): string =>
+  (error as { code?: string }).code ?? String((error as Error).message ?? error);
+const brokenStream = (reason: string): Result<never, BackFault> =>
+  Err({ ran: 'maybe', code: 'broken', dark: false, why: reason });
 
-/** A fault before any reply. Only a connection that was never made proves that nothing was heard. */
+/** Fault for a transport error. Only a failure to connect proves that the server received nothing. */
 const transportFault = (error: unknown, connectFailed: boolean): BackFault => {
   const code = errorCode(error);
   return {
@@ -27,14 +37,17 @@
     why: code,
   };
 };
-/** A reply that is not 200: a server that turns a job away says why in JSON, and has not run it. */
+/** Fault for a status other than 200. A server that rejects a job gives a known code in JSON and has not run the job. */
 const rejectionFault = (body: unknown): BackFault => {
   const code = (body as { code?: string } | null)?.code;
   const rejectionCode = REJECTION_CODES.find((c) => c === code);
-  if (rejectionCode) return { ran: 'no', code: rejectionCode, dark: false, why: `turned it away: ${rejectionCode}` };
-  return { ran: 'maybe', code: 'broken', dark: false, why: 'gave a reply that makes no sense' };
+  if (rejectionCode) return { ran: 'no', code: rejectionCode, dark: false, why: `rejected the job: ${rejectionCode}` };
+  return { ran: 'maybe', code: 'broken', dark: false, why: 'sent an error reply without a known code' };
 };
-/** Cuts what comes into lines, and hands each on as a piece; gives why the stream can't go on, or null. */
+/**
+ * Splits the stream into lines and passes each one on, parsed. `push` returns null, or the reason why the stream cannot
+ * continue.
+ */
 const lineSplitter = (onLine: (line: Piece) => boolean) => {
   let buffered = '';
   const parseLine = (text: string): string | null => {
@@ -42,10 +55,10 @@
     try {
       value = JSON.parse(text);
     } catch {
-      /* told below */
+      /* `value` stays null and fails the schema check below */
     }
-    if (!Check.is(Piece, value)) return 'streamed a line that is no piece';
-    return onLine(value as Piece) ? null : 'the stream was given up';
+    if (!Check.is(Piece, value)) return 'streamed a line that does not match the schema';
+    return onLine(value as Piece) ? null : 'the receiver ended the stream';
   };
   return {
     remainder: (): string => buffered,
@@ -56,14 +69,15 @@
         if (reason) return reason;
         buffered = buffered.slice(lineEnd + 1);
       }
-      return buffered.length > MAX_LINE_BYTES ? 'streamed a line too long' : null;
+      return buffered.length > MAX_LINE_BYTES ? 'streamed a line that is too long' : null;
     },
   };
 };
 
 /**
- * Model servers over HTTP/1.1 with JSON. Invariants: nothing waits for a connection that other work has taken, so what
- * was looked at before a send still holds when it leaves; no reply, and no line of one, is held beyond a fixed size.
+ * Client of the model servers over HTTP/1.1 with JSON. Invariants: no request waits for a connection that another one
+ * occupies, so what was checked before a send still holds when the request leaves; replies, and lines of a stream, are
+ * buffered only up to a fixed size.
  */
 export const HttpBack = {
   make(onConnect: (s: Socket) => void = () => undefined): Back & { close(): Promise<void> } {
@@ -91,7 +105,9 @@
         const replyBody = await BodyReader.json(response.body, MAX_REPLY_BYTES);
         if (response.statusCode !== 200) return Err(rejectionFault(replyBody.ok ? replyBody.val : null));
         const parsed = replyBody.ok ? Check.parse(schema, replyBody.val) : replyBody;
-        return parsed.ok ? parsed : Err({ ran: 'maybe', code: 'bad', dark: false, why: 'gave a reply of the wrong shape' });
+        return parsed.ok
+          ? parsed
+          : Err({ ran: 'maybe', code: 'bad', dark: false, why: 'sent a reply that does not match the schema' });
       } catch (error) {
         return Err(faultOf(error));
       }
@@ -124,7 +140,7 @@
               return brokenStream(reason);
             }
           }
-          return splitter.remainder() === '' ? Ok(null) : brokenStream('ended inside a line');
+          return splitter.remainder() === '' ? Ok(null) : brokenStream('ended the stream in the middle of a line');
         } catch (error) {
           return Err(faultOf(error));
         }
--- a/packages/counter/src/ledger.test.ts
+++ b/packages/counter/src/ledger.test.ts
@@ -7,7 +7,7 @@
   ['open', number, string, string, boolean?, string?] | ['sent' | 'closed' | 'ran', number, string, boolean, string?];
 const cases: [string, Step[]][] = [
   [
-    'a first try runs',
+    'a first attempt runs',
     [
       ['open', 1, 'x', 'ok'],
       ['sent', 1, 'x', true],
@@ -16,15 +16,15 @@
     ],
   ],
   [
-    'the same try twice',
+    'the same attempt opened twice',
     [
       ['open', 1, 'x', 'ok'],
       ['open', 1, 'y', 'twin'],
     ],
   ],
-  ['a second try of nothing known', [['open', 2, 'x', 'unknown']]],
+  ['a second attempt of an unknown key', [['open', 2, 'x', 'unknown']]],
   [
-    'a second try while the first waits shuts the first out',
+    'a second attempt opened while the first waits keeps the first from being sent',
     [
       ['open', 1, 'x', 'ok'],
       ['open', 2, 'y', 'ok'],
@@ -33,7 +33,7 @@
     ],
   ],
   [
-    'a second try after the first was sent',
+    'a second attempt after the first was sent',
     [
       ['open', 1, 'x', 'ok'],
       ['sent', 1, 'x', true],
@@ -41,7 +41,7 @@
     ],
   ],
   [
-    'a sent try proven unrun by its own daemon',
+    'a sent attempt closed by its own daemon',
     [
       ['open', 1, 'x', 'ok'],
       ['sent', 1, 'x', true],
@@ -50,7 +50,7 @@
     ],
   ],
   [
-    'a sent try may not be closed by another',
+    'a sent attempt is not closed by another daemon',
     [
       ['open', 1, 'x', 'ok'],
       ['sent', 1, 'x', true],
@@ -59,7 +59,7 @@
     ],
   ],
   [
-    'a closed try can not be sent',
+    'a closed attempt cannot be sent',
     [
       ['open', 1, 'x', 'ok'],
       ['closed', 1, 'x', true],
@@ -67,7 +67,7 @@
     ],
   ],
   [
-    'a closed number is not used again',
+    'the number of a closed attempt is not used again',
     [
       ['open', 1, 'x', 'ok'],
       ['closed', 1, 'x', true],
@@ -75,21 +75,21 @@
     ],
   ],
   [
-    'a first try refused at admission proves the second',
+    'a first attempt refused at admission lets the second open',
     [
       ['closed', 1, 'x', true],
       ['open', 2, 'y', 'ok'],
     ],
   ],
   [
-    'a second try refused at admission proves nothing by itself',
+    'a second attempt refused at admission proves nothing by itself',
     [
       ['closed', 2, 'x', false],
       ['open', 3, 'y', 'unknown'],
     ],
   ],
   [
-    'refusal after refusal keeps the proof',
+    'consecutive refusals at admission keep the proof',
     [
       ['closed', 1, 'x', true],
       ['closed', 2, 'y', true],
@@ -97,29 +97,29 @@
     ],
   ],
   [
-    'a gap in the numbers is no proof',
+    'a gap in the attempt numbers is not proof',
     [
       ['closed', 1, 'x', true],
       ['open', 3, 'z', 'unknown'],
     ],
   ],
   [
-    'proof had elsewhere',
+    'a second attempt with proof from another owner',
     [
       ['open', 2, 'x', 'ok', true],
       ['sent', 2, 'x', true],
     ],
   ],
   [
-    'another body under the key',
+    'another body under the same key',
     [
       ['open', 1, 'x', 'ok'],
       ['open', 2, 'y', 'other', false, 'body2'],
     ],
   ],
-  ['a mark for what was never opened', [['sent', 1, 'x', false]]],
+  ['a mark for an attempt that was never opened', [['sent', 1, 'x', false]]],
   [
-    'running is only said of what was sent',
+    'only a sent attempt can be marked as run',
     [
       ['open', 1, 'x', 'ok'],
       ['ran', 1, 'x', false],
@@ -132,7 +132,8 @@
     it(name, () => {
       const ledger = Ledger.make(clock);
       for (const step of steps) {
-        if (step[0] === 'open') expect(ledger.open('k', step[1], step[5] ?? 'body', step[4] ?? false, step[2])).to.equal(step[3]);
+        if (step[0] === 'open')
+          expect(ledger.open('k', step[1], step[5] ?? 'body', step[4] ?? false, step[2])).to.equal(step[3]);
         else expect(ledger.step('k', step[1], step[4] ?? 'body', step[0], step[2])).to.equal(step[3]);
       }
     });
--- a/packages/counter/src/ledger.ts
+++ b/packages/counter/src/ledger.ts
@@ -7,7 +7,10 @@
 const RETENTION_MS = 15 * 60_000;
 const MAX_KEYS = 200_000;
 
-/** The owner's side of the request ledger: in memory, for the keys that fall to this daemon. */
+/**
+ * The owner's side of the request ledger, which prevents a request from running twice. Kept in memory, for the keys that
+ * this daemon owns. `open` begins an attempt; `step` moves it on to 'sent', 'closed' or 'ran'.
+ */
 export const Ledger = {
   make(clock: Clock) {
     const entries = new Map<string, LedgerEntry>();
@@ -51,7 +54,8 @@
           return true;
         }
         if (known.attempt !== attempt || (known.by !== by && known.state !== to)) return false;
-        const allowed = to === 'sent' ? known.state === 'open' : to === 'closed' ? known.state !== 'ran' : known.state === 'sent';
+        const allowed =
+          to === 'sent' ? known.state === 'open' : to === 'closed' ? known.state !== 'ran' : known.state === 'sent';
         if (allowed) store(key, { ...known, state: to, updatedAtMs: clock.mono() });
         return allowed;
       },
--- a/packages/counter/src/ledgerdesk.ts
+++ b/packages/counter/src/ledgerdesk.ts
@@ -5,8 +5,8 @@
 const senderId = (sender: Ident): string => `${sender.id}/${sender.born}`;
 
 /**
- * Opens the ledger owner's desk to the other daemons. Invariant: what was meant for another life is not recorded
- * here.
+ * Handles the ledger messages of other daemons. Invariant: an opening addressed to another incarnation of this daemon
+ * is not recorded.
  */
 export const LedgerHandler = {
   make(post: PostBox, ledger: ReturnType<typeof Ledger.make>, self: () => Ident): void {
--- a/packages/counter/src/ledgerwords.ts
+++ b/packages/counter/src/ledgerwords.ts
@@ -3,9 +3,12 @@
 const strict = { additionalProperties: false } as const;
 const attemptFields = { key: Type.String({ maxLength: 120 }), attempt: Type.Integer({ minimum: 1 }) };
 
-/** The forms of what is said to ledger owners. */
+/** Schemas of the messages to ledger owners and of their replies. */
 export const LedgerMessages = {
-  /** `life` names the owner's life that is meant; another life records nothing and says 'unknown'. */
+  /**
+   * `proven`: the sender has proof that earlier attempts did not run. `life` is the owner's incarnation that the message
+   * is meant for; any other records nothing and replies 'unknown'.
+   */
   open: Type.Object(
     { ...attemptFields, digest: Type.String(), proven: Type.Boolean(), life: Type.Optional(Type.String()) },
     strict,
--- a/packages/counter/src/lentrun.ts
+++ b/packages/counter/src/lentrun.ts
@@ -22,9 +22,10 @@
 };
 
 /**
- * The path of borrowed requests: that of live ones, with admission, queues and loads of its own. Invariants: live work
- * shares none of these, so it never waits for what is borrowed; every send is bound by its server's lease, and of the
- * lowest urgency there; there are no extra tries, what finds a fault goes back to its burst.
+ * Runs burst requests on borrowed servers. They take the same path as live requests, with admission, queues and loads
+ * of their own. Invariants: live requests share none of these, so they never wait for borrowed ones; every send is
+ * bounded by the lease on its server and has the lowest urgency there; there are no retries, a request that meets a
+ * fault goes back to its burst.
  */
 export const LentRun = {
   make(deps: Dependencies) {
@@ -33,7 +34,15 @@
       decodeQueue = Queue.make(clock);
     const serverPicker = LentChoice.make({ live: deps.choice, loads: deps.loads, borrower: deps.borrower });
     const admission = Admission.make({ ...deps, queue, choice: serverPicker });
-    const grantTurns = TurnGranter.make({ clock, queue, decodeQueue, admission, choice: serverPicker, loads: deps.loads, serving: deps.serving });
+    const grantTurns = TurnGranter.make({
+      clock,
+      queue,
+      decodeQueue,
+      admission,
+      choice: serverPicker,
+      loads: deps.loads,
+      serving: deps.serving,
+    });
     const boundedServerClocks = {
       ...deps.hails,
       bound: (s: Parameters<typeof deps.hails.bound>[0], until: number) => {
@@ -44,18 +53,30 @@
     const retryBudget = { request: (): void => undefined, take: (): boolean => false, level: (): number => 0 };
     const demand = { read: 0, write: 0 };
     const queues = { queue, decodeQueue, choice: serverPicker, loads: deps.loads };
-    const request = RequestRunner.make({ ...deps, ...queues, hails: boundedServerClocks, admission, grantTurns, retryBudget, demand, urgency: 0 });
+    const request = RequestRunner.make({
+      ...deps,
+      ...queues,
+      hails: boundedServerClocks,
+      admission,
+      grantTurns,
+      retryBudget,
+      demand,
+      urgency: 0,
+    });
     return {
       request,
       pump: grantTurns,
       under: admission.under,
-      /** How much of a rule may be in hand at once: what is lent at decode servers, while readers are lent too. */
+      /**
+       * Slots that requests of a route may use at once: those borrowed at decode servers, or 0 if the borrowed prefill
+       * servers cannot take one request.
+       */
       room: (route: Rule): number => {
         const borrowedSlots = (part: 'prefill' | 'decode'): number =>
           serverPicker.usable(part).reduce((n, s) => n + deps.borrower.slots(s.id, s.born), 0);
         return borrowedSlots('prefill') >= route.weight ? borrowedSlots('decode') : 0;
       },
-      /** All that waits is given up, as not run. */
+      /** Gives up all queued requests; they have not run. */
       clear(): void {
         queue.clear();
         decodeQueue.clear();
--- a/packages/counter/src/piece.ts
+++ b/packages/counter/src/piece.ts
@@ -2,7 +2,7 @@
 
 const strict = { additionalProperties: false } as const;
 
-/** One line of a decode server's stream: a numbered piece, or the end with its count and digest. */
+/** One line of a decode server's stream: a numbered piece of the answer, or the end with piece count and digest. */
 export const Piece = Type.Union([
   Type.Object(
     {
--- a/packages/counter/src/pump.ts
+++ b/packages/counter/src/pump.ts
@@ -7,8 +7,8 @@
 };
 
 /**
- * Gives turns to requests that wait: at admission, and with a handle for a decode server. Invariant: room that a turn
- * was given for counts as taken until that request has had its chance to take it.
+ * Grants turns to queued requests: at admission, and, after prefill, for a decode server. Invariant: the capacity for
+ * which a turn was granted counts as reserved until that request has had the chance to reserve it itself.
  */
 export const TurnGranter = {
   make(deps: Dependencies): () => void {
--- a/packages/counter/src/reading.ts
+++ b/packages/counter/src/reading.ts
@@ -13,9 +13,14 @@
 const MAX_TIMEOUT_MS = 4000;
 const MIN_TIMEOUT_MS = 200;
 const POLL_INTERVAL_MS = 20;
-const HANDLE_MISMATCH: BackFault = { ran: 'no', code: 'bad', dark: false, why: 'gave a handle that does not fit the request' };
+const HANDLE_MISMATCH: BackFault = {
+  ran: 'no',
+  code: 'bad',
+  dark: false,
+  why: 'returned a handle that does not match the request',
+};
 
-/** Whether a handle is of this request, this life of the server and this prompt. */
+/** Whether a handle belongs to this request, this incarnation of the server and this prompt. */
 const matchesRequest = (handle: Handle | null, request: Request, server: Listed): boolean =>
   handle !== null &&
   handle.key === request.key &&
@@ -25,16 +30,17 @@
   handle.digest === Hash.text(request.prefix + request.part);
 
 /**
- * A request's prompt is read by a prefill server. Invariants: it is sent in the same turn as the list was looked at;
- * the room it was given is taken in the instant in which it is found;
- * whatever comes of it, the request has not run.
+ * Sends a request's prompt to a prefill server. Invariants: the server list is checked in the same event-loop turn as
+ * the send; a server's capacity is reserved in the instant in which it is found; whatever the result, the request has
+ * not run.
  */
 export const PrefillRunner = {
   make(deps: RunTools, retryPolicy: ReturnType<typeof RetryPolicy.make>) {
     const { world, loads } = deps;
     const now = (): number => world.clock.mono();
     const reserveServer = async (inFlight: Trip): Promise<ReservedServer | null> => {
-      const choose = (excluded: ReadonlySet<string>): Listed | null => deps.choice.prefill(inFlight.rule, inFlight.prefix, excluded);
+      const choose = (excluded: ReadonlySet<string>): Listed | null =>
+        deps.choice.prefill(inFlight.rule, inFlight.prefix, excluded);
       for (;;) {
         const server = retryPolicy.pickServer(inFlight, choose);
         if (server) return { server, release: loads.take(server.id, inFlight.rule.weight) };
@@ -47,7 +53,11 @@
       const { key, attempt, prefix, part } = request;
       world.tell({ what: 'send', part: 'prefill', server: server.id, key, attempt, version: deps.version() });
       const job = { key, attempt, ...Urgency.of(deps), ...bound, prefix, part, weight: route.weight };
-      const reply = await deps.back.prefill(server.addr, job, Math.max(MIN_TIMEOUT_MS, Math.min(MAX_TIMEOUT_MS, inFlight.due - now())));
+      const reply = await deps.back.prefill(
+        server.addr,
+        job,
+        Math.max(MIN_TIMEOUT_MS, Math.min(MAX_TIMEOUT_MS, inFlight.due - now())),
+      );
       const handle = reply.ok ? reply.val : null;
       if (matchesRequest(handle, request, server)) {
         inFlight.handle = handle;
--- a/packages/counter/src/request.ts
+++ b/packages/counter/src/request.ts
@@ -1,9 +1,8 @@
 import { Type, type Static } from 'typebox';
 
 /**
- * What a caller asks for. Invariants: one key names one body; a try again under the same key has the next attempt's
- * number. With `owners`, no two calls of one attempt can both run, whatever daemons they go to; without, see
- * docs/design.md.
+ * A client's request. Invariants: one key stands for one body; a retry under the same key has the next attempt number.
+ * With `owners`, no two calls of one attempt can both run, whichever daemons they go to; without, see docs/design.md.
  */
 export const Request = Type.Object(
   {
--- a/packages/counter/src/requestdesk.ts
+++ b/packages/counter/src/requestdesk.ts
@@ -5,7 +5,7 @@
 
 const strict = { additionalProperties: false } as const;
 
-/** Where a daemon tells what it knows of a request: what it did, and what it recorded as a ledger owner. */
+/** Serves what this daemon knows of a request: the steps it took, and its entry as a ledger owner. */
 export const RequestDesk = {
   forms: {
     request: Type.Object({ key: Type.String() }, strict),
@@ -33,7 +33,10 @@
   make(post: PostBox, requestLog: ReturnType<typeof RequestDiary.make>, ledger: ReturnType<typeof Ledger.make>): void {
     post.on('visit.tell', RequestDesk.forms.request, (message) => {
       const entry = ledger.get(message.key);
-      return { steps: requestLog.of(message.key), entry: entry ? { attempt: entry.attempt, state: entry.state, by: entry.by } : null };
+      return {
+        steps: requestLog.of(message.key),
+        entry: entry ? { attempt: entry.attempt, state: entry.state, by: entry.by } : null,
+      };
     });
   },
 };
--- a/packages/counter/src/requestdiary.ts
+++ b/packages/counter/src/requestdiary.ts
@@ -3,13 +3,13 @@
 type Step = { what: string; wall: number; attempt: number; more: Record<string, unknown> };
 const MAX_REQUESTS = 1024;
 
-/** What this daemon did for its latest requests, step by step. Invariant: never more than MOST requests are kept. */
+/** Log of the steps this daemon took for its latest requests. Invariant: keeps at most MAX_REQUESTS requests. */
 export const RequestDiary = {
   make(clock: Clock) {
     const stepsByKey = new Map<string, readonly Step[]>();
     return {
       of: (key: string): readonly Step[] => stepsByKey.get(key) ?? [],
-      /** The same world, whose deeds are also written here when they are about a request. */
+      /** Wraps a world so that its events about requests are also recorded here. */
       listen: (world: World): World => ({
         ...world,
         tell(event) {
--- a/packages/counter/src/requestjob.ts
+++ b/packages/counter/src/requestjob.ts
@@ -1,4 +1,6 @@
 import type { Request } from './request.js';
 
-/** What names one try of one request; with an urgency if a server should serve work that names none before it. */
+/**
+ * Identifies one attempt of one request. It has an urgency only if the server should serve work without one first.
+ */
 export type RequestJob = Pick<Request, 'key' | 'attempt'> & { urgency?: number };
--- a/packages/counter/src/requestlife.ts
+++ b/packages/counter/src/requestlife.ts
@@ -1,8 +1,9 @@
 import { createMachine, state, transition } from 'robot3';
 
 /**
- * The life of one request. Before 'writing' nothing was sent to a decode server, so it can be proven unrun;
- * 'streamed' has given its caller a piece, so from there on it can only end whole or be cut.
+ * State machine of one request. 'marking': recording in the ledger that it is sent; 'reading': prefill; 'handing':
+ * waiting for a decode server; 'writing': decode. Before 'writing' nothing was sent to a decode server, so the request
+ * provably has not run. In 'streamed' the client has received a piece, so the answer can only complete or be cut.
  */
 export const RequestLife = createMachine('waiting', {
   waiting: state(transition('turn', 'marking'), transition('give', 'refused')),
--- a/packages/counter/src/requestmeter.test.ts
+++ b/packages/counter/src/requestmeter.test.ts
@@ -7,7 +7,7 @@
 const requestEvent = (what: string, more: object = {}): Event => ({ what, key: 'k', attempt: 1, ...more });
 const admitted = requestEvent('gated', { rule: 'verdict' });
 
-/** What the meter shows after some deeds, each so many ms after the one before. */
+/** Metrics text after some events, each so many ms after the one before. */
 const metricsAfter = async (steps: readonly Step[]): Promise<string> => {
   let now = 0;
   const meters = Meters.make();
@@ -22,10 +22,10 @@
   return meters.text();
 };
 
-describe('RequestMeter', () => {
+describe('RequestMetrics', () => {
   const cases: [string, Step[], string[]][] = [
     [
-      'a request by rule and verdict',
+      'a request by route and verdict',
       [
         [0, admitted],
         [900, requestEvent('visit', { ran: 'yes', code: 'ran' })],
@@ -36,7 +36,7 @@
       ],
     ],
     [
-      'a request that was refused at admission, without a rule',
+      'a request that was refused at admission, without a route',
       [[0, requestEvent('visit', { ran: 'no', code: 'full' })]],
       ['pumicebarrow_visits_total{rule="none",ran="no",code="full"} 1'],
     ],
@@ -58,7 +58,7 @@
       ['pumicebarrow_first_piece_seconds_sum{rule="verdict"} 0.5'],
     ],
     [
-      'extra tries by what was met',
+      'retries by the code of the fault',
       [
         [0, requestEvent('extra', { code: 'lapsed' })],
         [0, requestEvent('extra', { code: 'lapsed' })],
@@ -66,7 +66,7 @@
       ['pumicebarrow_extra_tries_total{code="lapsed"} 2'],
     ],
     [
-      'versions by how they came',
+      'record versions by how they were received',
       [[0, requestEvent('held', { via: 'sender' })]],
       ['pumicebarrow_docs_held_total{via="sender"} 1'],
     ],
@@ -77,7 +77,7 @@
       for (const line of expectedLines) expect(text).to.contain(`${line}\n`);
     });
   }
-  it('remembers no more requests than its bound, and counts one that it forgot', () => {
+  it('tracks no more requests than its limit, and counts one that it dropped', () => {
     const meter = RequestMeter.make(Meters.make(), () => 0);
     const world = meter.listen({ tell: () => undefined } as unknown as World);
     for (let i = 0; i < 10_000; i++) world.tell({ ...admitted, key: `k${i}` });
@@ -85,7 +85,7 @@
     world.tell({ ...requestEvent('visit', { ran: 'yes', code: 'ran' }), key: 'k0' });
     expect(meter.trackedCount()).to.equal(8192);
   });
-  it('times the pieces of a stream', async () => {
+  it('measures the time between the pieces of a stream', async () => {
     let now = 0;
     const meters = Meters.make();
     const meter = RequestMeter.make(meters, () => now);
--- a/packages/counter/src/requestmeter.ts
+++ b/packages/counter/src/requestmeter.ts
@@ -3,13 +3,12 @@
 
 type TrackedRequest = { rule: string; admittedAtMs: number; sent: boolean };
 const MAX_TRACKED_REQUESTS = 8192;
-/** Of a request that was refused before its rule was known. */
+/** Label of requests that were refused before their route was known. */
 const UNKNOWN_ROUTE = 'none';
 
 /**
- * Counts requests by what this daemon does for them. Invariants: a request under way is known by key and attempt, from
- * the admission to its outcome; no more than MOST are remembered, and one that was forgotten is counted without its
- * rule.
+ * Derives metrics from the events of requests. Invariants: a request is tracked by key and attempt from admission to
+ * its outcome; at most MAX_TRACKED_REQUESTS are tracked, and one that was dropped is counted without its route.
  */
 export const RequestMeter = {
   make(metrics: Metering, mono: () => number) {
@@ -19,7 +18,9 @@
       'ran',
       'code',
     ]);
-    const extraTriesTotal = metrics.count('extra_tries_total', 'hand-overs tried again, by what the first met', ['code']);
+    const extraTriesTotal = metrics.count('extra_tries_total', 'hand-overs tried again, by what the first met', [
+      'code',
+    ]);
     const waitSeconds = metrics.time('wait_seconds', 'from admission to the first send', ['rule']);
     const firstPieceSeconds = metrics.time('first_piece_seconds', 'from admission to the first piece', ['rule']);
     const betweenPiecesSeconds = metrics.time('between_pieces_seconds', 'from one piece to the next', ['rule']);
@@ -49,7 +50,8 @@
         tracked = inFlight.get(id);
       if (event.what === 'gated') onAdmitted(id, String(event['rule']));
       else if (event.what === 'send' && tracked) onSent(tracked);
-      else if (event.what === 'streams' && tracked) firstPieceSeconds(mono() - tracked.admittedAtMs, { rule: tracked.rule });
+      else if (event.what === 'streams' && tracked)
+        firstPieceSeconds(mono() - tracked.admittedAtMs, { rule: tracked.rule });
       else if (event.what === 'extra') extraTriesTotal({ code: String(event['code']) });
       else if (event.what === 'visit') onFinished(id, tracked, String(event['ran']), String(event['code']));
       else if (event.what === 'held') recordsHeldTotal({ via: String(event['via']) });
@@ -58,7 +60,7 @@
     };
     return {
       trackedCount: (): number => inFlight.size,
-      /** The same world, whose deeds are counted too. */
+      /** Wraps a world so that its events are also counted. */
       listen(world: World): World {
         return {
           ...world,
@@ -68,14 +70,15 @@
           },
         };
       },
-      /** The same sink, whose pieces are timed. */
+      /** Wraps a response writer so that the time between pieces is measured. */
       timed(id: { key: string; attempt: number }, writer: CallerSink): CallerSink {
         let lastPieceAtMs = -1;
         return {
           ...writer,
           piece(n, text) {
             const now = mono();
-            if (lastPieceAtMs >= 0) betweenPiecesSeconds(now - lastPieceAtMs, { rule: inFlight.get(idOf(id))?.rule ?? UNKNOWN_ROUTE });
+            if (lastPieceAtMs >= 0)
+              betweenPiecesSeconds(now - lastPieceAtMs, { rule: inFlight.get(idOf(id))?.rule ?? UNKNOWN_ROUTE });
             lastPieceAtMs = now;
             writer.piece(n, text);
           },
--- a/packages/counter/src/run.ts
+++ b/packages/counter/src/run.ts
@@ -11,16 +11,22 @@
 
 type AdmittedTurn = { settled: () => void; over: () => void };
 type LedgerRecord = { owners: readonly Ident[]; digest: string };
+/** `ran`: the answer was streamed to its end. */
 type Outcome = { verdict: Verdict; ran: boolean };
 const MAX_RETRY_AFTER_S = 15;
 const noRoomInTime = (estimatedWaitMs: number): Verdict =>
-  Verdicts.not('late', 'No server had room in time.', Math.min(MAX_RETRY_AFTER_S, Math.max(1, Math.ceil(estimatedWaitMs / 1000))));
+  Verdicts.not(
+    'late',
+    'No server had free capacity in time.',
+    Math.min(MAX_RETRY_AFTER_S, Math.max(1, Math.ceil(estimatedWaitMs / 1000))),
+  );
 
 /**
- * One request, from admission to its outcome, written straight down.
- * Invariants: nothing is sent while this daemon isn't sure of its charter; every send is preceded, in the same turn, by
- * a look at a young list, and bound by that list's age so that it can't take hold later; a request is sent again only
- * on proof that it has not run, and each time from the bucket; the sink hears one outcome.
+ * Runs one request from admission to its outcome.
+ * Invariants: nothing is sent while this daemon has not confirmed that its configuration is the newest; every send is
+ * preceded, in the same event-loop turn, by a check against a fresh server list, and has a bound derived from the age
+ * of that list, after which the server rejects it; a request is sent again only on proof that it has not run, and each
+ * retry takes a token from the retry budget; the response writer receives exactly one outcome.
  */
 export const RequestRunner = {
   make(deps: RunTools) {
@@ -31,12 +37,27 @@
       decode = DecodeRunner.make(deps, retryPolicy);
     const lateVerdict = (route: Rule): Verdict => noRoomInTime(deps.queue.foresee(route.urgency));
 
-    /** A marked request is read and written, again and again where that is safe, until it is whole or given up. */
-    const runToEnd = async (request: Request, route: Rule, writer: CallerSink, deadline: number, releaseReservation: () => void): Promise<Outcome> => {
+    /** Runs prefill and decode of a request marked as sent, with retries where safe, until it completes or is given up. */
+    const runToEnd = async (
+      request: Request,
+      route: Rule,
+      writer: CallerSink,
+      deadline: number,
+      releaseReservation: () => void,
+    ): Promise<Outcome> => {
       const stateMachine = interpret(RequestLife, () => undefined);
       const prefix = Hash.text(request.prefix);
       const inFlight: Trip = {
-        ...{ v: request, rule: route, sink: writer, due: deadline, settled: releaseReservation, life: stateMachine, prefix, why: lateVerdict(route) },
+        ...{
+          v: request,
+          rule: route,
+          sink: writer,
+          due: deadline,
+          settled: releaseReservation,
+          life: stateMachine,
+          prefix,
+          why: lateVerdict(route),
+        },
         avoid: new Set(),
         handle: null,
         reader: null,
@@ -44,9 +65,10 @@
       const state = (): string => stateMachine.machine.current;
       stateMachine.send('turn');
       stateMachine.send('marked');
-      while (state() === 'reading' || state() === 'handing') await (state() === 'reading' ? prefill(inFlight) : decode(inFlight));
+      while (state() === 'reading' || state() === 'handing')
+        await (state() === 'reading' ? prefill(inFlight) : decode(inFlight));
       releaseReservation();
-      if (state() === 'ended') return { verdict: Verdicts.ran('ran', 'The answer is whole.'), ran: true };
+      if (state() === 'ended') return { verdict: Verdicts.ran('ran', 'The answer is complete.'), ran: true };
       return { verdict: inFlight.why, ran: false };
     };
     const recordOutcome = (request: Request, verdict: Verdict): void =>
@@ -57,7 +79,7 @@
       else writer.refuse(verdict);
       return verdict;
     };
-    /** Its turn never came, or it could not be marked in time: the try is closed before the caller is told. */
+    /** The request got no turn, or was not marked as sent in time: closes the attempt before the client is told. */
     const closeUnmarked = async (
       request: Request,
       route: Rule,
@@ -69,7 +91,9 @@
       turn?.over();
       await witness.close(request, record.owners, record.digest);
       deps.grantTurns();
-      return turn && !marked ? Verdicts.not('noledger', 'The request could not be marked as sent.', 1) : lateVerdict(route);
+      return turn && !marked
+        ? Verdicts.not('noledger', 'The request could not be marked as sent.', 1)
+        : lateVerdict(route);
     };
 
     return async (request: Request, writer: CallerSink): Promise<Verdict> => {
@@ -93,7 +117,8 @@
       const granted = await queued.turn;
       const turn = granted ? deps.admission.begin(route.val) : null;
       const marked = turn && !writer.gone() ? await witness.markSent(request, owners, digest) : false;
-      if (!turn || !marked || now() >= deadline) return finish(request, writer, await closeUnmarked(request, route.val, record, turn, marked));
+      if (!turn || !marked || now() >= deadline)
+        return finish(request, writer, await closeUnmarked(request, route.val, record, turn, marked));
       const outcome = await runToEnd(request, route.val, writer, deadline, turn.settled);
       turn.over();
       deps.grantTurns();
--- a/packages/counter/src/streamcheck.test.ts
+++ b/packages/counter/src/streamcheck.test.ts
@@ -18,21 +18,21 @@
   ...more,
 });
 const cases: [string, Piece[], boolean][] = [
-  ['a whole stream', [piece(1), piece(2), end(2)], true],
+  ['a complete stream', [piece(1), piece(2), end(2)], true],
   ['an empty stream with its end', [end(0)], true],
   ['a gap', [piece(1), piece(3)], false],
-  ['a piece twice', [piece(1), piece(1)], false],
+  ['a repeated piece', [piece(1), piece(1)], false],
   ['a start in the middle', [piece(2)], false],
   ['an early end', [piece(1), end(2)], false],
   ['an end with another digest', [piece(1), end(1, { digest: 'x' })], false],
   ['a text that was changed', [piece(1, { text: 'other' }), end(1)], false],
   ["another request's piece", [piece(1, { key: 'other' })], false],
-  ["another try's piece", [piece(1, { attempt: 2 })], false],
-  ['another life of the server', [piece(1), piece(2, { born: 'old' })], false],
+  ["another attempt's piece", [piece(1, { attempt: 2 })], false],
+  ['a piece of another incarnation of the server', [piece(1), piece(2, { born: 'old' })], false],
   ['a line after the end', [piece(1), end(1), piece(2)], false],
 ];
 
-describe('StreamCheck', () => {
+describe('StreamValidator', () => {
   for (const [name, lines, accepted] of cases) {
     it(`${accepted ? 'takes' : 'turns away'} ${name}`, () => {
       const validator = StreamValidator.make(base);
--- a/packages/counter/src/takes.ts
+++ b/packages/counter/src/takes.ts
@@ -1,12 +1,12 @@
 import type { Verdict } from '@pumicebarrow/forms';
 import type { CallerSink } from './callersink.js';
 
-/** The longest text that the core keeps of an answer. */
+/** The longest answer text that the control replicas store. */
 const MAX_KEPT_TEXT_CHARS = 4096;
 type CollectedAnswer = { completion: { count: number; digest: string } | null; text: () => string; sink: CallerSink };
 type Outcome = { to: 'ran' | 'unrun' | 'unsure'; text?: string; count?: number; digest?: string; why?: string };
 
-/** Takes in one generation's answer, and says what became of it. */
+/** Collects the answer of one burst request and derives the outcome to record. */
 export const Takes = {
   make(): CollectedAnswer {
     const pieces: string[] = [];
@@ -27,7 +27,10 @@
     };
     return answer;
   },
-  /** Only a whole answer is 'ran', and only a verdict of no is 'unrun'; of one too long, count and digest are kept. */
+  /**
+   * Only a complete answer gives 'ran', and only a verdict that it did not run gives 'unrun'. Of an answer that is too
+   * long, only piece count and digest are kept.
+   */
   outcome(verdict: Verdict, answer: CollectedAnswer): Outcome {
     const reason = `${verdict.code}: ${verdict.why}`.slice(0, 200);
     if (answer.completion) {
--- a/packages/counter/src/tries.ts
+++ b/packages/counter/src/tries.ts
@@ -8,22 +8,23 @@
 type ServerChooser = (excluded: ReadonlySet<string>) => Listed | null;
 
 /**
- * What the reading and the writing of a request share. Invariants: no server is picked while this daemon isn't sure of
- * its charter; a request is sent again only for a token from the bucket, and not past its deadline.
+ * Server selection and retries, shared by prefill and decode. Invariants: no server is picked while this daemon has not
+ * confirmed that its configuration is the newest; a request is sent again only for a token from the retry budget, and
+ * not past its deadline.
  */
 export const RetryPolicy = {
   make(deps: RunTools) {
     const { world } = deps;
     return {
-      /** A server that was not met with a fault yet; any other where there is none. */
+      /** Picks a server at which this request has met no fault; if there is none, any server. */
       pickServer(inFlight: Trip, choose: ServerChooser): Listed | null {
         if (!deps.sure()) return null;
         return choose(inFlight.avoid) ?? (inFlight.avoid.size > 0 ? choose(new Set()) : null);
       },
-      /** The bound of a send to a server, by a look at the list in this instant; null if it must not be sent to. */
+      /** Execution bound for a send to a server, by the server list as of now; null if it must not be used. */
       executionBound: (server: Listed | null): Bound | null =>
         server && deps.town.good(server.id, server.born) ? deps.hails.bound(server, deps.town.until()) : null,
-      /** Takes a fault that proves the try unrun; true if the request may be tried again. */
+      /** Records a fault that proves that the attempt did not run; true if the request may be tried again. */
       tryRetryAfter(inFlight: Trip, fault: BackFault, server: Listed): boolean {
         inFlight.why = Verdicts.not(fault.code, `${server.id}: ${fault.why}`, 1);
         if (fault.dark) deps.sighted(server);
--- a/packages/counter/src/witness.test.ts
+++ b/packages/counter/src/witness.test.ts
@@ -8,7 +8,7 @@
 const roster = ['e1', 'e2', 'e3', 'e4'].map(counterIdent);
 const rankedIds = Lot.rank('key:k', roster, (r) => r.id).map((r) => r.id);
 const request = (attempt: number) => ({ key: 'k', attempt, prefix: 'p', part: 'q' });
-/** What happens to asks at the n-th owner in rank: unheard, or heard with the reply lost. */
+/** What happens to requests to an owner: delivered, not sent, lost, or delivered with the reply lost. */
 type Delivery = 'fine' | 'unsent' | 'lost' | 'heardlost';
 
 const setUp = () => {
@@ -44,8 +44,8 @@
   };
 };
 
-describe('Witness', () => {
-  it('pins two owners and marks both', async () => {
+describe('LedgerClient', () => {
+  it('opens at two owners and marks both as sent', async () => {
     const cluster = setUp(),
       client = cluster.daemon('x');
     const opened = await client.open(request(1));
@@ -53,18 +53,18 @@
     expect(await client.markSent(request(1), opened.owners, opened.digest)).to.equal(true);
     expect((await cluster.daemon('y').open(request(2))).rejection?.ran).to.equal('maybe');
   });
-  it('takes the next owner where nothing was sent to the first', async () => {
+  it('uses the next owner if nothing was sent to the first', async () => {
     const cluster = setUp();
     cluster.fate(0, 'unsent');
     expect((await cluster.daemon('x').open(request(1))).owners.map((i) => i.id)).to.deep.equal(rankedIds.slice(1, 3));
   });
-  it('gives the try up where an owner may have recorded it unknown to us', async () => {
+  it('gives the attempt up if an owner may have recorded it without a reply', async () => {
     const cluster = setUp();
     cluster.fate(1, 'heardlost');
     const opened = await cluster.daemon('x').open(request(1));
     expect([opened.rejection?.ran, opened.rejection?.code, opened.owners.length]).to.deep.equal(['no', 'noledger', 0]);
   });
-  it('shuts a waiting try out when a later one comes', async () => {
+  it('keeps a waiting attempt from being sent once a later one is opened', async () => {
     const cluster = setUp(),
       x = cluster.daemon('x'),
       opened = await x.open(request(1));
@@ -73,11 +73,11 @@
     expect(await x.markSent(request(1), opened.owners, opened.digest)).to.equal(false);
   });
   const lost: [string, number[], string | undefined][] = [
-    ['one owner forgot', [0], 'mayhaverun'],
-    ['both owners forgot', [0, 1], 'unproven'],
+    ['one owner lost its entries', [0], 'mayhaverun'],
+    ['both owners lost their entries', [0, 1], 'unproven'],
   ];
   for (const [name, ranks, code] of lost) {
-    it(`never opens a second try of a sent one: ${name}`, async () => {
+    it(`never opens a second attempt of a sent one: ${name}`, async () => {
       const cluster = setUp(),
         x = cluster.daemon('x'),
         opened = await x.open(request(1));
@@ -86,7 +86,7 @@
       expect((await cluster.daemon('y').open(request(2))).rejection?.code).to.equal(code);
     });
   }
-  it('opens a second try of a waiting one whose mark can no longer be had, though one owner forgot', async () => {
+  it('opens a second attempt of a waiting one that can no longer be marked, though one owner lost its entries', async () => {
     const cluster = setUp(),
       x = cluster.daemon('x'),
       opened = await x.open(request(1));
@@ -94,7 +94,7 @@
     expect((await cluster.daemon('y').open(request(2))).rejection).to.equal(null);
     expect(await x.markSent(request(1), opened.owners, opened.digest)).to.equal(false);
   });
-  it('opens the next try after one closed by the daemon that sent it', async () => {
+  it('opens the next attempt after one closed by the daemon that sent it', async () => {
     const cluster = setUp(),
       x = cluster.daemon('x'),
       opened = await x.open(request(1));
--- a/packages/counter/src/witness.ts
+++ b/packages/counter/src/witness.ts
@@ -20,15 +20,15 @@
 const MAX_SUSPECTED_OWNERS = 1024;
 
 /**
- * The request's side of the ledger. Invariants: nothing goes to a server before both owners pinned at the opening
- * have acknowledged the mark; a try after the first is opened only on an owner's word that the one before did not run;
- * when an owner may have recorded an opening without our knowing, that try is given up, so that an 'open' record
- * is always one whose mark the sender needs.
+ * The request's side of the ledger. Invariants: nothing is sent to a server before both owners chosen at the opening
+ * have acknowledged the 'sent' mark; a later attempt is opened only if an owner confirms that the one before did not
+ * run; if an owner may have recorded an opening without replying, the attempt is given up, so that an 'open' entry is
+ * always one whose 'sent' mark the sender needs acknowledged.
  */
 export const LedgerClient = {
   make(world: World, post: PostBox, roster: () => readonly Ident[], knownDaemons: () => readonly Ident[] = roster) {
     const { clock } = world;
-    /** Owners that did not reply lately. */
+    /** Daemons (id/incarnation) that recently did not reply; not chosen as owners for a while. */
     const suspected = Fading.make<true>(clock.mono, MAX_SUSPECTED_OWNERS);
     const rankByKey = (key: string): Ident[] =>
       Lot.rank(
@@ -37,11 +37,13 @@
         (r) => r.id,
       );
     /**
-     * Who may record a request, first those who are to: the two lives that it names, or by rendezvous over the live
-     * daemons.
+     * Candidates for owning a request, the preferred ones first: the two incarnations that the request names, or else
+     * the live daemons in the order of rendezvous hashing.
      */
     const rankOwners = (request: Request): Ident[] =>
-      request.owners ? knownDaemons().filter((r) => request.owners!.includes(`${r.id}/${r.born}`)) : rankByKey(request.key);
+      request.owners
+        ? knownDaemons().filter((r) => request.owners!.includes(`${r.id}/${r.born}`))
+        : rankByKey(request.key);
     const askOpen = async (owner: Ident, request: Request, digest: string, proven: boolean): Promise<OpenReply> => {
       const r = await post.ask(
         owner.addr,
@@ -66,22 +68,28 @@
       );
       return r.ok && r.val.ok;
     };
-    const stepAll = async (owners: readonly Ident[], request: Request, digest: string, to: Transition): Promise<boolean> =>
+    const stepAll = async (
+      owners: readonly Ident[],
+      request: Request,
+      digest: string,
+      to: Transition,
+    ): Promise<boolean> =>
       (await Promise.all(owners.map((owner) => askStep(owner, request, digest, to)))).every((x) => x);
-    const digestOf = (request: Request): string => Hash.text(`${request.rule ?? ''}\n${request.prefix.length}\n${request.prefix}${request.part}`);
+    const digestOf = (request: Request): string =>
+      Hash.text(`${request.rule ?? ''}\n${request.prefix.length}\n${request.prefix}${request.part}`);
 
     const rejectionFor = (replies: readonly OpenReply[]): Verdict | null => {
       const has = (reply: OpenReply): boolean => replies.includes(reply);
-      if (has('other')) return Verdicts.not('otherbody', 'This key was used with another body.');
-      if (has('ran')) return Verdicts.ran('ran', 'An earlier try of this request ran.');
-      if (has('sent')) return Verdicts.maybe('mayhaverun', 'An earlier try of this request may have run.');
-      if (has('twin')) return Verdicts.maybe('twin', 'This attempt, or a later one, is known already.');
-      if (has('closed')) return Verdicts.not('closed', 'This attempt is closed; use the next number.', 0);
+      if (has('other')) return Verdicts.not('otherbody', 'This key was already used with another body.');
+      if (has('ran')) return Verdicts.ran('ran', 'An earlier attempt of this request ran.');
+      if (has('sent')) return Verdicts.maybe('mayhaverun', 'An earlier attempt of this request may have run.');
+      if (has('twin')) return Verdicts.maybe('twin', 'This attempt, or a later one, is already recorded.');
+      if (has('closed')) return Verdicts.not('closed', 'This attempt is closed; use the next attempt number.', 0);
       if (has('lost')) return Verdicts.not('noledger', 'A daemon that records requests did not reply.', 1);
       return null;
     };
     return {
-      /** Two owners are pinned, or the request goes no further. */
+      /** Opens the attempt at two owners, or gives the verdict with which the request is rejected. */
       async open(request: Request): Promise<{ rejection: Verdict | null; owners: Ident[]; digest: string }> {
         const digest = digestOf(request),
           candidates = rankOwners(request);
@@ -96,8 +104,9 @@
         if (earlyRejection) return reject(earlyRejection);
         if (request.attempt > 1) {
           if (!replies.includes('ok'))
-            return reject(Verdicts.maybe('unproven', 'Nothing here proves that the earlier try did not run.'));
-          for (const [i, owner] of askedOwners.entries()) if (replies[i] === 'unknown') replies[i] = await askOpen(owner, request, digest, true);
+            return reject(Verdicts.maybe('unproven', 'Nothing proves that the earlier attempt did not run.'));
+          for (const [i, owner] of askedOwners.entries())
+            if (replies[i] === 'unknown') replies[i] = await askOpen(owner, request, digest, true);
         }
         for (const owner of candidates.slice(askedOwners.length)) {
           if (openedOwners().length >= 2 || rejectionFor(replies)) break;
@@ -107,16 +116,23 @@
         const lateRejection = rejectionFor(replies);
         if (lateRejection) return reject(lateRejection);
         if (openedOwners().length < 2)
-          return reject(Verdicts.not('noledger', 'Too few daemons can be reached to record the request.', 1));
+          return reject(Verdicts.not('noledger', 'Too few daemons are reachable to record the request.', 1));
         return { rejection: null, owners: openedOwners(), digest };
       },
-      markSent: (request: Request, owners: readonly Ident[], digest: string): Promise<boolean> => stepAll(owners, request, digest, 'sent'),
-      markRan: (request: Request, owners: readonly Ident[], digest: string): Promise<boolean> => stepAll(owners, request, digest, 'ran'),
+      markSent: (request: Request, owners: readonly Ident[], digest: string): Promise<boolean> =>
+        stepAll(owners, request, digest, 'sent'),
+      markRan: (request: Request, owners: readonly Ident[], digest: string): Promise<boolean> =>
+        stepAll(owners, request, digest, 'ran'),
       close: (request: Request, owners: readonly Ident[], digest: string): Promise<boolean> =>
         stepAll(owners, request, digest, 'closed'),
-      /** For a request refused at admission: lets its next try be proven. Never holds the outcome back for long. */
+      /** Closes a request refused at admission, as proof for its next attempt. Delays the outcome by 150 ms at most. */
       async closeRefused(request: Request): Promise<void> {
-        await Timer.within(clock, 150, stepAll(rankOwners(request).slice(0, 2), request, digestOf(request), 'closed'), () => false);
+        await Timer.within(
+          clock,
+          150,
+          stepAll(rankOwners(request).slice(0, 2), request, digestOf(request), 'closed'),
+          () => false,
+        );
       },
     };
   },
--- a/packages/counter/src/witnessing.ts
+++ b/packages/counter/src/witnessing.ts
@@ -1,4 +1,4 @@
 import type { LedgerClient } from './witness.js';
 
-/** The request's side of the ledger, as its run sees it. */
+/** The ledger client, as the request runner uses it. */
 export type LedgerAccess = ReturnType<typeof LedgerClient.make>;
--- a/packages/counter/src/writing.test.ts
+++ b/packages/counter/src/writing.test.ts
@@ -12,7 +12,7 @@
 const rule = { name: 'r', weight: 1, urgency: 1, limit: 9, waitlist: 9, deadline: 900, pieces: 2, bytes: 99 } as Rule;
 const servers = ['m1', 'm2', 'm3'].map((id) => ({ id, born: 'x', addr: id, site: 's', mark: 'serving' as const }));
 
-/** Requests that get their turn in one instant, where each server has room for one. */
+/** Dependencies in which each server has capacity for one request and never replies. */
 const setUp = () => {
   const loads = Loads.make();
   const calledAddresses: string[] = [];
@@ -26,7 +26,12 @@
   const deps = {
     world: { clock: { mono: () => 0, after: () => () => undefined }, tell: () => undefined } as unknown as World,
     choice: { decode: firstIdle, prefill: firstIdle, usable: () => servers, roomy: () => true },
-    ...{ loads, town: { good: () => ({}), until: () => 900 }, demand: { read: 0, write: 0 }, grantTurns: () => undefined },
+    ...{
+      loads,
+      town: { good: () => ({}), until: () => 900 },
+      demand: { read: 0, write: 0 },
+      grantTurns: () => undefined,
+    },
     decodeQueue: { enter: () => ({ turn: Promise.resolve(true), leave: () => undefined }) },
     hails: { bound: () => ({ born: 'x', by: 900 }) },
     back: { decode: recordCall, prefill: recordCall },
@@ -50,21 +55,22 @@
   return { t: deps, jobs, tries: RetryPolicy.make(deps), trip: inFlightRequest, met: calledAddresses };
 };
 
-describe('Requests that have their turn in one instant', () => {
+describe('Requests that get their turn at the same instant', () => {
   for (const [name, make] of [
     ['read', PrefillRunner.make],
     ['written', DecodeRunner.make],
   ] as const) {
-    it(`are ${name} each at a server that has room, not all at the one that looked the idlest`, async () => {
+    it(`are ${name} each at a server with free capacity, not all at the one that looked idlest`, async () => {
       const setup = setUp(),
         run = make(setup.t, setup.tries);
       for (let i = 0; i < 3; i++) void run(setup.trip(i));
       await new Promise((done) => void setTimeout(done, 0));
       expect(setup.met).to.deep.equal(['m1', 'm2', 'm3']);
     });
-    it(`are ${name} with the urgency that they have at the server, live ones with none`, async () => {
+    it(`are ${name} with their urgency at the server, live ones with none`, async () => {
       const setup = setUp();
-      for (const deps of [setup.t, { ...setup.t, urgency: 0 }]) void make(deps, setup.tries)(setup.trip(setup.jobs.length));
+      for (const deps of [setup.t, { ...setup.t, urgency: 0 }])
+        void make(deps, setup.tries)(setup.trip(setup.jobs.length));
       await new Promise((done) => void setTimeout(done, 0));
       expect(setup.jobs.map((j) => j.urgency)).to.deep.equal([undefined, 0]);
     });
--- a/packages/counter/src/writing.ts
+++ b/packages/counter/src/writing.ts
@@ -18,18 +18,19 @@
 const brokenStream = (reason: string): BackFault => ({ ran: 'maybe', code: 'broken', dark: false, why: reason });
 
 /**
- * A request's answer is written by a decode server. Invariants: it is sent in the same turn as the list was looked at;
- * the room it was given is taken in the instant in which it is found;
- * it is sent again only on proof that this try has not run, and never once a piece has come; no piece is handed on
- * that is not the next one of this request and this life.
+ * Runs the decode of a request and streams the answer to the client. Invariants: the server list is checked in the same
+ * event-loop turn as the send; a server's capacity is reserved in the instant in which it is found; the request is sent
+ * again only on proof that this try has not run, and never once a piece has arrived; only the next piece of this request
+ * and this incarnation of the server is passed on.
  */
 export const DecodeRunner = {
   make(deps: RunTools, retryPolicy: ReturnType<typeof RetryPolicy.make>) {
     const { world, loads } = deps;
     const now = (): number => world.clock.mono();
-    /** Waits among those with a handle, the most urgent first. */
+    /** Waits in the queue of requests that have a handle, most urgent first, and reserves a decode server. */
     const reserveServer = async (inFlight: Trip): Promise<ReservedServer | null> => {
-      const choose = (excluded: ReadonlySet<string>): Listed | null => deps.choice.decode(inFlight.rule, inFlight.reader!, excluded);
+      const choose = (excluded: ReadonlySet<string>): Listed | null =>
+        deps.choice.decode(inFlight.rule, inFlight.reader!, excluded);
       for (;;) {
         const queued = deps.decodeQueue.enter(inFlight.rule, inFlight.due);
         deps.grantTurns();
@@ -43,7 +44,7 @@
       loads.timed(inFlight.reader!.id, server.id, now() - startedAtMs);
       world.tell({ what: 'streams', key: inFlight.v.key, attempt: inFlight.v.attempt, server: server.id });
     };
-    /** Hands pieces on as they come; what it heard that can't be is kept in `wrong`, and ends the stream. */
+    /** Passes pieces on as they arrive; an invalid line ends the stream and is kept in `violation`. */
     const streamReceiver = (inFlight: Trip, server: Listed, validator: Validator) => {
       const startedAtMs = now();
       const receiver = {
@@ -68,7 +69,7 @@
       };
       return receiver;
     };
-    /** The stream is over without its end: again if it is proven unrun, else the request is given up. */
+    /** The stream stopped before its end: the request is retried if it provably did not run, else given up. */
     const onIncomplete = (inFlight: Trip, server: Listed, fault: BackFault, pieceCount: number): void => {
       if (fault.ran === 'no' && pieceCount === 0) {
         const mayRetry = retryPolicy.tryRetryAfter(inFlight, fault, server);
@@ -85,7 +86,7 @@
     };
     const faultOf = (got: Result<unknown, BackFault>, violation: string | null): BackFault => {
       if (violation !== null) return brokenStream(violation);
-      return got.ok ? brokenStream('the stream stopped before its end') : got.val;
+      return got.ok ? brokenStream('the stream ended without its end line') : got.val;
     };
     const send = async (inFlight: Trip, server: Listed, handle: Handle, bound: Bound): Promise<void> => {
       const { key, attempt } = inFlight.v,
@@ -97,13 +98,15 @@
       const job = { key, attempt, ...Urgency.of(deps), ...bound, handle, pieces, weight };
       const ms = Math.max(MIN_IDLE_TIMEOUT_MS, Math.min(MAX_IDLE_TIMEOUT_MS, inFlight.due - now()));
       const reply = await deps.back.decode(server.addr, job, ms, (line) => receiver.onLine(line));
-      if (inFlight.life.machine.current !== 'ended') onIncomplete(inFlight, server, faultOf(reply, receiver.violation), validator.count());
+      if (inFlight.life.machine.current !== 'ended')
+        onIncomplete(inFlight, server, faultOf(reply, receiver.violation), validator.count());
     };
     return async (inFlight: Trip): Promise<void> => {
       deps.demand.write += inFlight.rule.weight;
       const reserved = await reserveServer(inFlight);
       const bound = retryPolicy.executionBound(reserved?.server ?? null);
-      if (reserved && inFlight.handle && bound && !inFlight.sink.gone()) await send(inFlight, reserved.server, inFlight.handle, bound);
+      if (reserved && inFlight.handle && bound && !inFlight.sink.gone())
+        await send(inFlight, reserved.server, inFlight.handle, bound);
       else inFlight.life.send('give');
       reserved?.release();
       deps.demand.write -= inFlight.rule.weight;
