--- a/packages/counter/src/counter.ts
+++ b/packages/counter/src/counter.ts
@@ -74,25 +74,15 @@
     };
     const roster = (): readonly Ident[] =>
       checkin.roster().some((r) => r.id === ident.id) ? checkin.roster() : known();
-    const town = TownWatch.make(
-      world,
-      post,
-      inventorySource,
-      () => known().filter((p) => p.id !== ident.id),
-      () => suspension.look(),
-    );
+    const look = () => suspension.look();
+    const town = TownWatch.make(world, post, inventorySource, () => known().filter((p) => p.id !== ident.id), look);
     const ledger = Ledger.make(clock);
     LedgerHandler.make(post, ledger, self);
     const loads = Loads.make(),
       ejections = Shuns.make(clock),
       queue = Queue.make(clock),
       decodeQueue = Queue.make(clock);
-    const hails = Hails.make(
-      clock,
-      modelServers,
-      () => town.all(),
-      () => suspension.look(),
-    );
+    const hails = Hails.make(clock, modelServers, () => town.all(), look);
     const choice = Choice.make({ hails, sheet, town, loads, shuns: ejections, roster });
     const demand = { read: 0, write: 0 };
     /** Requests queued at admission count as demand for prefill only if the prefill servers have no free capacity. */
@@ -100,11 +90,8 @@
       read: demand.read + (choice.roomy('prefill', { weight: 1 }, '*turn') ? 0 : queue.weight()),
       write: demand.write,
     });
-    const newest = Newest.make({
-      ...{ world, post, purge, self, known, slept: () => suspension.slept() },
-      line: controlClient,
-      shelf: recordStore,
-    });
+    const slept = () => suspension.slept();
+    const newest = Newest.make({ world, post, line: controlClient, purge, shelf: recordStore, self, known, slept });
     const checkin = Checkin.make({ clock, line: controlClient, sheet, shelf: recordStore, newest, demand: demandNow });
     const suspension = Awake.make(clock, () => {
       duty.drop();
@@ -130,16 +117,8 @@
     const admissionDeps = { site: ident.site, charter: sheet.charter, open: refusal, young: town.young };
     const admission = Admission.make({ ...admissionDeps, queue, choice, loads });
     const grantTurns = TurnGranter.make({ clock, queue, decodeQueue, admission, choice, loads, serving });
-    const duty = Duty.make(world, controlClient, self, roster, () => suspension.look());
-    const failureReports = Sights.make({
-      world,
-      shelf: recordStore,
-      sheet,
-      shuns: ejections,
-      purge,
-      town,
-      self: ident.id,
-    });
+    const duty = Duty.make(world, controlClient, self, roster, look);
+    const reports = Sights.make({ world, shelf: recordStore, sheet, shuns: ejections, purge, town, self: ident.id });
     const shared = { world, sheet, town, hails, duty, purge, back: modelServers, self: (): string => ident.id };
     const stageAssigner = Casting.make({ ...shared, suspect: (s) => ejections.has(s.id, s.born) });
     const stageBalancer = Mixer.make({ ...shared, load: () => checkin.load() });
@@ -150,17 +129,8 @@
       suspension.look();
       return confirmed;
     };
-    const queues = { queue, decodeQueue, choice, loads };
-    const runDeps = {
-      ...shared,
-      ...queues,
-      admission,
-      witness,
-      retryBudget,
-      sighted: failureReports.saw,
-      grantTurns,
-      demand,
-    };
+    const queues = { queue, decodeQueue, choice, loads, demand };
+    const runDeps = { ...shared, ...queues, admission, witness, retryBudget, sighted: reports.saw, grantTurns };
     const enter: typeof decodeQueue.enter = (route, deadline) => {
       lending.handed(route);
       return decodeQueue.enter(route, deadline);
@@ -171,13 +141,7 @@
       version: sheet.version,
       sure,
     });
-    const lendingDeps = {
-      look: () => suspension.look(),
-      load: () => checkin.load(),
-      roster,
-      version: sheet.version,
-      sure,
-    };
+    const lendingDeps = { look, load: () => checkin.load(), roster, version: sheet.version, sure };
     const lending = Lending.make({
       ...runDeps,
       ...admissionDeps,
@@ -190,7 +154,7 @@
     });
     const stopTimers: (() => void)[] = [];
 
-    RecordChangeHandler.make({ log, recordStore, grantTurns, stageAssigner, ejections, failureReports });
+    RecordChangeHandler.make({ log, recordStore, grantTurns, stageAssigner, ejections, failureReports: reports });
     town.heed(() => {
       hails.tick();
       grantTurns();
--- a/packages/counter/src/httpback.ts
+++ b/packages/counter/src/httpback.ts
@@ -37,7 +37,7 @@
     why: code,
   };
 };
-/** Fault for a status other than 200. A server that rejects a job gives a known code in JSON and has not run the job. */
+/** Fault for a status other than 200. A server that rejects a job says why by a known code and has not run the job. */
 const rejectionFault = (body: unknown): BackFault => {
   const code = (body as { code?: string } | null)?.code;
   const rejectionCode = REJECTION_CODES.find((c) => c === code);
--- a/packages/counter/src/ledger.ts
+++ b/packages/counter/src/ledger.ts
@@ -8,8 +8,8 @@
 const MAX_KEYS = 200_000;
 
 /**
- * The owner's side of the request ledger, which prevents a request from running twice. Kept in memory, for the keys that
- * this daemon owns. `open` begins an attempt; `step` moves it on to 'sent', 'closed' or 'ran'.
+ * The owner's side of the request ledger, which prevents a request from running twice. Kept in memory, for the keys
+ * that this daemon owns. `open` begins an attempt; `step` moves it on to 'sent', 'closed' or 'ran'.
  */
 export const Ledger = {
   make(clock: Clock) {
--- a/packages/counter/src/ledgerwords.ts
+++ b/packages/counter/src/ledgerwords.ts
@@ -6,8 +6,8 @@
 /** Schemas of the messages to ledger owners and of their replies. */
 export const LedgerMessages = {
   /**
-   * `proven`: the sender has proof that earlier attempts did not run. `life` is the owner's incarnation that the message
-   * is meant for; any other records nothing and replies 'unknown'.
+   * `proven`: the sender has proof that earlier attempts did not run. `life` is the incarnation of the owner that the
+   * message is meant for; any other records nothing and replies 'unknown'.
    */
   open: Type.Object(
     { ...attemptFields, digest: Type.String(), proven: Type.Boolean(), life: Type.Optional(Type.String()) },
--- a/packages/counter/src/run.ts
+++ b/packages/counter/src/run.ts
@@ -37,7 +37,7 @@
       decode = DecodeRunner.make(deps, retryPolicy);
     const lateVerdict = (route: Rule): Verdict => noRoomInTime(deps.queue.foresee(route.urgency));
 
-    /** Runs prefill and decode of a request marked as sent, with retries where safe, until it completes or is given up. */
+    /** Runs prefill and decode of a request marked as sent, with safe retries, until it completes or is given up. */
     const runToEnd = async (
       request: Request,
       route: Rule,
--- a/packages/counter/src/witness.test.ts
+++ b/packages/counter/src/witness.test.ts
@@ -86,7 +86,7 @@
       expect((await cluster.daemon('y').open(request(2))).rejection?.code).to.equal(code);
     });
   }
-  it('opens a second attempt of a waiting one that can no longer be marked, though one owner lost its entries', async () => {
+  it('opens a second attempt when the first can no longer be marked, though one owner lost its entries', async () => {
     const cluster = setUp(),
       x = cluster.daemon('x'),
       opened = await x.open(request(1));
--- a/packages/counter/src/writing.ts
+++ b/packages/counter/src/writing.ts
@@ -20,8 +20,8 @@
 /**
  * Runs the decode of a request and streams the answer to the client. Invariants: the server list is checked in the same
  * event-loop turn as the send; a server's capacity is reserved in the instant in which it is found; the request is sent
- * again only on proof that this try has not run, and never once a piece has arrived; only the next piece of this request
- * and this incarnation of the server is passed on.
+ * again only on proof that this attempt has not run, and never once a piece has arrived; only the next piece of this
+ * request and this incarnation of the server is passed on.
  */
 export const DecodeRunner = {
   make(deps: RunTools, retryPolicy: ReturnType<typeof RetryPolicy.make>) {
