--- a/packages/counter/src/counter.ts
+++ b/packages/counter/src/counter.ts
@@ -40,7 +40,7 @@
 
 /** Assembles a counter daemon: gossip, request ledger, stage assignment and the path of requests. */
 export const Counter = {
-  make(outerWorld: World, settings: CounterSettings, modelServers: Back, inventorySource: Town) {
+  make(outerWorld: World, settings: CounterSettings, servers: Back, source: Town) {
     const { clock } = outerWorld;
     const requestLog = RequestDiary.make(clock),
       world = requestLog.listen(outerWorld);
@@ -52,6 +52,7 @@
       site: settings.site,
       role: 'counter',
     };
+    const { id } = ident;
     const self = (): Ident => ident;
     const stateMachine = interpret(DaemonLife, () => undefined);
     const state = (): string => stateMachine.machine.current,
@@ -75,15 +76,15 @@
     const roster = (): readonly Ident[] =>
       checkin.roster().some((r) => r.id === ident.id) ? checkin.roster() : known();
     const look = () => suspension.look();
-    const town = TownWatch.make(world, post, inventorySource, () => known().filter((p) => p.id !== ident.id), look);
+    const inventory = TownWatch.make(world, post, source, () => known().filter((p) => p.id !== id), look);
     const ledger = Ledger.make(clock);
     LedgerHandler.make(post, ledger, self);
     const loads = Loads.make(),
       ejections = Shuns.make(clock),
       queue = Queue.make(clock),
       decodeQueue = Queue.make(clock);
-    const hails = Hails.make(clock, modelServers, () => town.all(), look);
-    const choice = Choice.make({ hails, sheet, town, loads, shuns: ejections, roster });
+    const clocks = Hails.make(clock, servers, () => inventory.all(), look);
+    const choice = Choice.make({ hails: clocks, sheet, town: inventory, loads, shuns: ejections, roster });
     const demand = { read: 0, write: 0 };
     /** Requests queued at admission count as demand for prefill only if the prefill servers have no free capacity. */
     const demandNow = () => ({
@@ -95,8 +96,8 @@
     const checkin = Checkin.make({ clock, line: controlClient, sheet, shelf: recordStore, newest, demand: demandNow });
     const suspension = Awake.make(clock, () => {
       duty.drop();
-      town.drop();
-      hails.drop();
+      inventory.drop();
+      clocks.drop();
       lending.drop();
       confirmed = false;
       if (state() !== 'serving') return;
@@ -114,12 +115,20 @@
         1,
       );
     };
-    const admissionDeps = { site: ident.site, charter: sheet.charter, open: refusal, young: town.young };
+    const admissionDeps = { site: ident.site, charter: sheet.charter, open: refusal, young: inventory.young };
     const admission = Admission.make({ ...admissionDeps, queue, choice, loads });
     const grantTurns = TurnGranter.make({ clock, queue, decodeQueue, admission, choice, loads, serving });
     const duty = Duty.make(world, controlClient, self, roster, look);
-    const reports = Sights.make({ world, shelf: recordStore, sheet, shuns: ejections, purge, town, self: ident.id });
-    const shared = { world, sheet, town, hails, duty, purge, back: modelServers, self: (): string => ident.id };
+    const reports = Sights.make({
+      world,
+      shelf: recordStore,
+      sheet,
+      shuns: ejections,
+      purge,
+      town: inventory,
+      self: id,
+    });
+    const shared = { world, sheet, town: inventory, hails: clocks, duty, purge, back: servers, self: () => id };
     const stageAssigner = Casting.make({ ...shared, suspect: (s) => ejections.has(s.id, s.born) });
     const stageBalancer = Mixer.make({ ...shared, load: () => checkin.load() });
     const witness = LedgerClient.make(world, post, roster, known);
@@ -135,7 +144,7 @@
       lending.handed(route);
       return decodeQueue.enter(route, deadline);
     };
-    const request = RequestRunner.make({
+    const run = RequestRunner.make({
       ...runDeps,
       decodeQueue: { ...decodeQueue, enter },
       version: sheet.version,
@@ -155,8 +164,8 @@
     const stopTimers: (() => void)[] = [];
 
     RecordChangeHandler.make({ log, recordStore, grantTurns, stageAssigner, ejections, failureReports: reports });
-    town.heed(() => {
-      hails.tick();
+    inventory.heed(() => {
+      clocks.tick();
       grantTurns();
     });
     const becomeServing = async (): Promise<void> => {
@@ -181,13 +190,13 @@
     TraceDesk.make(post, self, purge, recordStore, sure);
     Introducer.make({ clock: world.clock, post, me: self, view: controlClient.view });
     RequestDesk.make(post, requestLog, ledger);
-    const components = { ident, admission, post, line: controlClient, purge, shelf: recordStore, sheet, watch: town };
+    const components = { ident, admission, post, line: controlClient, purge, shelf: recordStore, watch: inventory };
     return {
       ...components,
-      ...{ ledger, duty, ejections, lending, roster, met: met.all, life: state },
+      ...{ sheet, ledger, duty, ejections, lending, roster, met: met.all, life: state },
       request(clientRequest: Request, writer: CallerSink): Promise<Verdict> {
         lending.arrived(clientRequest.rule);
-        return request(clientRequest, writer);
+        return run(clientRequest, writer);
       },
       /** Two daemons (id/incarnation) that a client may name as the owners of a request. */
       owners: (): string[] =>
@@ -205,8 +214,8 @@
         stateMachine.send('begin');
         suspension.start();
         purge.start();
-        town.start();
-        hails.start();
+        inventory.start();
+        clocks.start();
         lending.start();
         void becomeServing();
         stopTimers.push(Timer.every(clock, 400, checkIn));
@@ -236,8 +245,8 @@
       stop(): void {
         for (const s of stopTimers) s();
         suspension.stop();
-        town.stop();
-        hails.stop();
+        inventory.stop();
+        clocks.stop();
         lending.stop();
         purge.stop();
         post.close();
