--- a/packages/counter/src/counter.ts
+++ b/packages/counter/src/counter.ts
@@ -45,14 +45,8 @@
     const requestLog = RequestDiary.make(clock),
       world = requestLog.listen(outerWorld);
     const log = world.log('counter');
-    const ident: Ident = {
-      id: settings.id,
-      born: Dice.word(world.chance),
-      addr: settings.addr,
-      site: settings.site,
-      role: 'counter',
-    };
-    const { id } = ident;
+    const { id, addr, site } = settings;
+    const ident: Ident = { id, born: Dice.word(world.chance), addr, site, role: 'counter' };
     const self = (): Ident => ident;
     const stateMachine = interpret(DaemonLife, () => undefined);
     const state = (): string => stateMachine.machine.current,
@@ -73,8 +67,7 @@
       );
       return [...all.values()];
     };
-    const roster = (): readonly Ident[] =>
-      checkin.roster().some((r) => r.id === ident.id) ? checkin.roster() : known();
+    const roster = (): readonly Ident[] => (checkin.roster().some((r) => r.id === id) ? checkin.roster() : known());
     const look = () => suspension.look();
     const inventory = TownWatch.make(world, post, source, () => known().filter((p) => p.id !== id), look);
     const ledger = Ledger.make(clock);
@@ -115,7 +108,7 @@
         1,
       );
     };
-    const admissionDeps = { site: ident.site, charter: sheet.charter, open: refusal, young: inventory.young };
+    const admissionDeps = { site, charter: sheet.charter, open: refusal, young: inventory.young };
     const admission = Admission.make({ ...admissionDeps, queue, choice, loads });
     const grantTurns = TurnGranter.make({ clock, queue, decodeQueue, admission, choice, loads, serving });
     const duty = Duty.make(world, controlClient, self, roster, look);
@@ -144,13 +137,9 @@
       lending.handed(route);
       return decodeQueue.enter(route, deadline);
     };
-    const run = RequestRunner.make({
-      ...runDeps,
-      decodeQueue: { ...decodeQueue, enter },
-      version: sheet.version,
-      sure,
-    });
-    const lendingDeps = { look, load: () => checkin.load(), roster, version: sheet.version, sure };
+    const freshness = { version: sheet.version, sure };
+    const run = RequestRunner.make({ ...runDeps, decodeQueue: { ...decodeQueue, enter }, ...freshness });
+    const lendingDeps = { look, load: () => checkin.load(), roster, ...freshness };
     const lending = Lending.make({
       ...runDeps,
       ...admissionDeps,
