--- a/packages/counter/src/back.ts
+++ b/packages/counter/src/back.ts
@@ -7,19 +7,22 @@
 import type { Piece } from './piece.js';
 import type { RequestJob } from './requestjob.js';
 
-/** How model servers are reached. A stream gives pieces as they come; it ends with null, or with a fault. */
+/**
+ * Client of the model servers. `decode` passes each line of the stream to `onLine` as it arrives (false ends the
+ * stream) and resolves to null at the end of the stream, or to a fault.
+ */
 export type Back = {
   prefill(
     addr: string,
     job: RequestJob & Bound & { prefix: string; part: string; weight: number },
-    ms: number,
+    timeoutMs: number,
   ): Promise<Result<Handle, BackFault>>;
   decode(
     addr: string,
     job: RequestJob & Bound & { handle: Handle; pieces: number; weight: number },
-    ms: number,
-    take: (p: Piece) => boolean,
+    timeoutMs: number,
+    onLine: (line: Piece) => boolean,
   ): Promise<Result<null, BackFault>>;
-  order(addr: string, slip: OrderSlip, ms: number): Promise<Result<BackState, BackFault>>;
-  state(addr: string, ms: number): Promise<Result<BackState, BackFault>>;
+  order(addr: string, order: OrderSlip, timeoutMs: number): Promise<Result<BackState, BackFault>>;
+  state(addr: string, timeoutMs: number): Promise<Result<BackState, BackFault>>;
 };
--- a/packages/counter/src/counter.ts
+++ b/packages/counter/src/counter.ts
@@ -12,16 +12,16 @@
 import { Duty } from './duty.js';
 import { Admission } from './admission.js';
 import { Hails } from './hails.js';
-import { Hearing } from './hearing.js';
+import { RecordChangeHandler } from './hearing.js';
 import { Ledger } from './ledger.js';
-import { LedgerDesk } from './ledgerdesk.js';
+import { LedgerHandler } from './ledgerdesk.js';
 import { Lending } from './lending/lending.js';
 import { Loads } from './loads.js';
 import { Met } from './met.js';
 import { Mixer } from './mixer.js';
 import { Newest } from './newest.js';
-import { Pump } from './pump.js';
-import { Run } from './run.js';
+import { TurnGranter } from './pump.js';
+import { RequestRunner } from './run.js';
 import { Choice } from './choice.js';
 import { Sheet } from './sheet.js';
 import { Shuns } from './shuns.js';
@@ -32,215 +32,210 @@
 import { RequestDesk } from './requestdesk.js';
 import { RequestDiary } from './requestdiary.js';
 import { Queue } from './queue.js';
-import { Witness } from './witness.js';
+import { LedgerClient } from './witness.js';
 
-/** Extra tries: so many a request, and so many saved at the most. */
-const RATE = 0.2;
-const CAP = 3;
+/** Retry budget: tokens gained per request, and the most that can be saved up. */
+const RETRY_TOKENS_PER_REQUEST = 0.2;
+const MAX_RETRY_TOKENS = 3;
 
-/** A counter daemon put together: purge, ledger, casting and the requests' path. */
+/** Assembles a counter daemon: gossip, request ledger, stage assignment and the path of requests. */
 export const Counter = {
-  make(outer: World, settings: CounterSettings, back: Back, town: Town) {
-    const { clock } = outer;
-    const diary = RequestDiary.make(clock),
-      world = diary.listen(outer);
+  make(outerWorld: World, settings: CounterSettings, servers: Back, source: Town) {
+    const { clock } = outerWorld;
+    const requestLog = RequestDiary.make(clock),
+      world = requestLog.listen(outerWorld);
     const log = world.log('counter');
-    const ident: Ident = {
-      id: settings.id,
-      born: Dice.word(world.chance),
-      addr: settings.addr,
-      site: settings.site,
-      role: 'counter',
-    };
+    const { id, addr, site } = settings;
+    const ident: Ident = { id, born: Dice.word(world.chance), addr, site, role: 'counter' };
     const self = (): Ident => ident;
-    const life = interpret(DaemonLife, () => undefined);
-    const is = (): string => life.machine.current,
-      serving = (): boolean => is() === 'serving';
+    const stateMachine = interpret(DaemonLife, () => undefined);
+    const state = (): string => stateMachine.machine.current,
+      serving = (): boolean => state() === 'serving';
     const post = Post.make(world, self);
-    const shelf = Shelf.make(RecordCheck.doc);
+    const recordStore = Shelf.make(RecordCheck.doc);
     const seeds = (): readonly string[] => settings.seeds;
-    const purge = Purge.make(world, post, self, shelf, settings.tunes, seeds, (): readonly Ident[] => [
-      ...Views.idents(line.view()),
+    const purge = Purge.make(world, post, self, recordStore, settings.tunes, seeds, (): readonly Ident[] => [
+      ...Views.idents(controlClient.view()),
       ...checkin.roster(),
     ]);
-    const line = ControlClient.make(world, post, () => [...seeds(), ...purge.peers().map((p) => p.addr)]);
-    const sheet = Sheet.make(shelf);
-    let certain = false;
+    const controlClient = ControlClient.make(world, post, () => [...seeds(), ...purge.peers().map((p) => p.addr)]);
+    const sheet = Sheet.make(recordStore);
+    let confirmed = false;
     const known = (): readonly Ident[] => {
       const all = new Map(
         [...purge.peers().filter((p) => p.role === 'counter'), ...checkin.roster(), ident].map((p) => [p.id, p]),
       );
       return [...all.values()];
     };
-    const crew = (): readonly Ident[] => (checkin.roster().some((r) => r.id === ident.id) ? checkin.roster() : known());
-    const watch = TownWatch.make(
-      world,
-      post,
-      town,
-      () => known().filter((p) => p.id !== ident.id),
-      () => awake.look(),
-    );
+    const roster = (): readonly Ident[] => (checkin.roster().some((r) => r.id === id) ? checkin.roster() : known());
+    const look = () => suspension.look();
+    const inventory = TownWatch.make(world, post, source, () => known().filter((p) => p.id !== id), look);
     const ledger = Ledger.make(clock);
-    LedgerDesk.make(post, ledger, self);
+    LedgerHandler.make(post, ledger, self);
     const loads = Loads.make(),
-      shuns = Shuns.make(clock),
+      ejections = Shuns.make(clock),
       queue = Queue.make(clock),
-      hands = Queue.make(clock);
-    const hails = Hails.make(
-      clock,
-      back,
-      () => watch.all(),
-      () => awake.look(),
-    );
-    const choice = Choice.make({ hails, sheet, town: watch, loads, shuns, roster: crew });
+      decodeQueue = Queue.make(clock);
+    const clocks = Hails.make(clock, servers, () => inventory.all(), look);
+    const choice = Choice.make({ hails: clocks, sheet, town: inventory, loads, shuns: ejections, roster });
     const demand = { read: 0, write: 0 };
-    /** Requests at admission are wanting for readers only if it is the readers that have no room. */
+    /** Requests queued at admission count as demand for prefill only if the prefill servers have no free capacity. */
     const demandNow = () => ({
       read: demand.read + (choice.roomy('prefill', { weight: 1 }, '*turn') ? 0 : queue.weight()),
       write: demand.write,
     });
-    const newest = Newest.make({ world, post, line, purge, shelf, self, known, slept: () => awake.slept() });
-    const checkin = Checkin.make({ clock, line, sheet, shelf, newest, demand: demandNow });
-    const awake = Awake.make(clock, () => {
+    const slept = () => suspension.slept();
+    const newest = Newest.make({ world, post, line: controlClient, purge, shelf: recordStore, self, known, slept });
+    const checkin = Checkin.make({ clock, line: controlClient, sheet, shelf: recordStore, newest, demand: demandNow });
+    const suspension = Awake.make(clock, () => {
       duty.drop();
-      watch.drop();
-      hails.drop();
+      inventory.drop();
+      clocks.drop();
       lending.drop();
-      certain = false;
-      if (is() !== 'serving') return;
-      log.warn('This daemon slept. Asking for the newest charter.');
+      confirmed = false;
+      if (state() !== 'serving') return;
+      log.warn('The process was suspended. Confirming the newest configuration before serving again.');
       world.tell({ what: 'woke' });
-      life.send('woke');
-      void ask();
+      stateMachine.send('woke');
+      void becomeServing();
     });
-    const shut = (): Verdict | null => {
-      awake.look();
-      if (is() === 'serving') return null;
+    const refusal = (): Verdict | null => {
+      suspension.look();
+      if (state() === 'serving') return null;
       return Verdicts.not(
-        is() === 'asking' ? 'asking' : 'leaving',
-        is() === 'asking' ? 'This daemon is learning the newest charter.' : 'This daemon is leaving.',
+        state() === 'asking' ? 'asking' : 'leaving',
+        state() === 'asking' ? 'This daemon is confirming the newest configuration.' : 'This daemon is shutting down.',
         1,
       );
     };
-    const door = { site: ident.site, charter: sheet.charter, open: shut, young: watch.young };
-    const admission = Admission.make({ ...door, queue, choice, loads });
-    const pump = Pump.make({ clock, queue, hands, admission, choice, loads, serving });
-    const duty = Duty.make(world, line, self, crew, () => awake.look());
-    const sights = Sights.make({ world, shelf, sheet, shuns, purge, town: watch, self: ident.id });
-    const shared = { world, sheet, town: watch, hails, duty, purge, back, self: (): string => ident.id };
-    const casting = Casting.make({ ...shared, suspect: (s) => shuns.has(s.id, s.born) });
-    const mixer = Mixer.make({ ...shared, load: () => checkin.load() });
-    const witness = Witness.make(world, post, crew, known);
-    const bucket = Bucket.make(RATE, CAP);
-    /** A daemon that has just started, or slept, may hold an older charter than it once did. */
+    const admissionDeps = { site, charter: sheet.charter, open: refusal, young: inventory.young };
+    const admission = Admission.make({ ...admissionDeps, queue, choice, loads });
+    const grantTurns = TurnGranter.make({ clock, queue, decodeQueue, admission, choice, loads, serving });
+    const duty = Duty.make(world, controlClient, self, roster, look);
+    const reports = Sights.make({
+      world,
+      shelf: recordStore,
+      sheet,
+      shuns: ejections,
+      purge,
+      town: inventory,
+      self: id,
+    });
+    const shared = { world, sheet, town: inventory, hails: clocks, duty, purge, back: servers, self: () => id };
+    const stageAssigner = Casting.make({ ...shared, suspect: (s) => ejections.has(s.id, s.born) });
+    const stageBalancer = Mixer.make({ ...shared, load: () => checkin.load() });
+    const witness = LedgerClient.make(world, post, roster, known);
+    const retryBudget = Bucket.make(RETRY_TOKENS_PER_REQUEST, MAX_RETRY_TOKENS);
+    /** After a start or a suspension, the local configuration may be older than one held before. */
     const sure = (): boolean => {
-      awake.look();
-      return certain;
+      suspension.look();
+      return confirmed;
     };
-    const lists = { queue, hands, choice, loads };
-    const tools = { ...shared, ...lists, admission, witness, bucket, sighted: sights.saw, pump, demand };
-    const wanted: typeof hands.enter = (rule, due) => {
-      lending.handed(rule);
-      return hands.enter(rule, due);
+    const queues = { queue, decodeQueue, choice, loads, demand };
+    const runDeps = { ...shared, ...queues, admission, witness, retryBudget, sighted: reports.saw, grantTurns };
+    const enter: typeof decodeQueue.enter = (route, deadline) => {
+      lending.handed(route);
+      return decodeQueue.enter(route, deadline);
     };
-    const request = Run.make({ ...tools, hands: { ...hands, enter: wanted }, version: sheet.version, sure });
-    const seeing = { look: () => awake.look(), load: () => checkin.load(), roster: crew, version: sheet.version, sure };
+    const freshness = { version: sheet.version, sure };
+    const run = RequestRunner.make({ ...runDeps, decodeQueue: { ...decodeQueue, enter }, ...freshness });
+    const lendingDeps = { look, load: () => checkin.load(), roster, ...freshness };
     const lending = Lending.make({
-      ...tools,
-      ...door,
-      ...seeing,
+      ...runDeps,
+      ...admissionDeps,
+      ...lendingDeps,
       post,
-      line,
-      shelf,
-      waiting: (part) => (part === 'prefill' ? queue : hands).weight(),
+      line: controlClient,
+      shelf: recordStore,
+      waiting: (part) => (part === 'prefill' ? queue : decodeQueue).weight(),
       serving,
     });
-    const stops: (() => void)[] = [];
+    const stopTimers: (() => void)[] = [];
 
-    Hearing.make({ log, shelf, pump, casting, shuns, sights });
-    watch.heed(() => {
-      hails.tick();
-      pump();
+    RecordChangeHandler.make({ log, recordStore, grantTurns, stageAssigner, ejections, failureReports: reports });
+    inventory.heed(() => {
+      clocks.tick();
+      grantTurns();
     });
-    const ask = async (): Promise<void> => {
-      while (is() === 'asking') {
-        const sure = await newest.sure();
-        if (sure && is() === 'asking') {
-          certain = true;
-          life.send('sure');
+    const becomeServing = async (): Promise<void> => {
+      while (state() === 'asking') {
+        const isNewest = await newest.sure();
+        if (isNewest && state() === 'asking') {
+          confirmed = true;
+          stateMachine.send('sure');
           log.say('Serving.');
           world.tell({ what: 'serving', version: sheet.version() });
-          pump();
+          grantTurns();
           return;
         }
         await Timer.nap(clock, 150);
       }
     };
     const met = Met.make(clock, known);
-    const meet = async (): Promise<void> => {
+    const checkIn = async (): Promise<void> => {
       met.tick();
-      if (is() !== 'draining' && is() !== 'stopped') await checkin.tick();
+      if (state() !== 'draining' && state() !== 'stopped') await checkin.tick();
     };
-    TraceDesk.make(post, self, purge, shelf, sure);
-    Introducer.make({ clock: world.clock, post, me: self, view: line.view });
-    RequestDesk.make(post, diary, ledger);
-    const parts = { ident, admission, post, line, purge, shelf, sheet, watch, ledger, duty, shuns, lending };
+    TraceDesk.make(post, self, purge, recordStore, sure);
+    Introducer.make({ clock: world.clock, post, me: self, view: controlClient.view });
+    RequestDesk.make(post, requestLog, ledger);
+    const components = { ident, admission, post, line: controlClient, purge, shelf: recordStore, watch: inventory };
     return {
-      ...parts,
-      ...{ roster: crew, met: met.all, life: is },
-      request(v: Request, sink: CallerSink): Promise<Verdict> {
-        lending.arrived(v.rule);
-        return request(v, sink);
+      ...components,
+      ...{ sheet, ledger, duty, ejections, lending, roster, met: met.all, life: state },
+      request(clientRequest: Request, writer: CallerSink): Promise<Verdict> {
+        lending.arrived(clientRequest.rule);
+        return run(clientRequest, writer);
       },
-      /** Two lives that a caller may name as the owners of a request. */
+      /** Two daemons (id/incarnation) that a client may name as the owners of a request. */
       owners: (): string[] =>
         Dice.some(
           world.chance,
-          crew().filter((r) => r.role === 'counter'),
+          roster().filter((r) => r.role === 'counter'),
           2,
         ).map((r) => `${r.id}/${r.born}`),
-      /** The charter's version; null while this daemon can't tell. */
+      /** Version of the configuration; null while it is not confirmed to be the newest. */
       version: (): number | null => (sure() ? sheet.version() : null),
       waiting: queue.total,
       under: admission.under,
-      level: bucket.level,
+      level: retryBudget.level,
       start(): void {
-        life.send('begin');
-        awake.start();
+        stateMachine.send('begin');
+        suspension.start();
         purge.start();
-        watch.start();
-        hails.start();
+        inventory.start();
+        clocks.start();
         lending.start();
-        void ask();
-        stops.push(Timer.every(clock, 400, meet));
-        stops.push(
+        void becomeServing();
+        stopTimers.push(Timer.every(clock, 400, checkIn));
+        stopTimers.push(
           Timer.every(clock, 300, async () => {
-            if (is() !== 'serving') return;
-            duty.tick([...casting.names(), mixer.name, ...lending.names()]);
-            mixer.tick();
+            if (state() !== 'serving') return;
+            duty.tick([...stageAssigner.names(), stageBalancer.name, ...lending.names()]);
+            stageBalancer.tick();
             void lending.tick();
-            await casting.tick();
+            await stageAssigner.tick();
           }),
         );
-        stops.push(Timer.every(clock, 50, pump));
+        stopTimers.push(Timer.every(clock, 50, grantTurns));
       },
-      /** Stops letting requests in, lets those under way end, gives up its leases. */
-      async leave(ms: number): Promise<void> {
-        life.send('leave');
-        log.say('Leaving: no more requests are let in.');
+      /** Stops accepting requests, lets those in flight finish, and gives up the leases of this daemon. */
+      async leave(graceMs: number): Promise<void> {
+        stateMachine.send('leave');
+        log.say('Shutting down: no more requests are accepted.');
         queue.clear();
-        const end = clock.mono() + ms;
-        await lending.leave(Math.min(end, clock.mono() + ms / 2));
-        await line.leave(duty.names());
+        const deadline = clock.mono() + graceMs;
+        await lending.leave(Math.min(deadline, clock.mono() + graceMs / 2));
+        await controlClient.leave(duty.names());
         duty.drop();
-        while (admission.under() > 0 && clock.mono() < end) await Timer.nap(clock, 50);
-        life.send('empty');
+        while (admission.under() > 0 && clock.mono() < deadline) await Timer.nap(clock, 50);
+        stateMachine.send('empty');
       },
       stop(): void {
-        for (const s of stops) s();
-        awake.stop();
-        watch.stop();
-        hails.stop();
+        for (const s of stopTimers) s();
+        suspension.stop();
+        inventory.stop();
+        clocks.stop();
         lending.stop();
         purge.stop();
         post.close();
--- a/packages/counter/src/piece.ts
+++ b/packages/counter/src/piece.ts
@@ -1,8 +1,8 @@
 import { Type, type Static } from 'typebox';
 
-const shut = { additionalProperties: false } as const;
+const strict = { additionalProperties: false } as const;
 
-/** One line of a decode server's stream: a numbered piece, or the end with its count and digest. */
+/** One line of a decode server's stream: a numbered piece of the answer, or the end with piece count and digest. */
 export const Piece = Type.Union([
   Type.Object(
     {
@@ -12,7 +12,7 @@
       n: Type.Integer({ minimum: 1 }),
       text: Type.String(),
     },
-    shut,
+    strict,
   ),
   Type.Object(
     {
@@ -23,7 +23,7 @@
       count: Type.Integer({ minimum: 0 }),
       digest: Type.String(),
     },
-    shut,
+    strict,
   ),
 ]);
 export type Piece = Static<typeof Piece>;
