--- a/packages/clerk/src/commands/burstbegin.ts
+++ b/packages/clerk/src/commands/burstbegin.ts
@@ -1,9 +1,9 @@
 import { Args, Command } from '@oclif/core';
 import { readFile } from 'node:fs/promises';
-import { Common } from '../common.js';
-import { Desk } from '../desk.js';
+import { CommonFlags } from '../common.js';
+import { OperatorClient } from '../desk.js';
 import { Printer } from '../printer.js';
-import { Where } from '../where.js';
+import { CommandTransport } from '../where.js';
 
 /** clerk burst begin */
 export class BurstBeginCommand extends Command {
@@ -12,7 +12,7 @@
   static override args = {
     file: Args.string({ description: 'a JSON file: key, rule, prompts, samples, repeats', required: true }),
   };
-  static override flags = Common;
+  static override flags = CommonFlags;
 
   async run(): Promise<void> {
     const { args, flags } = await this.parse(BurstBeginCommand);
@@ -23,9 +23,13 @@
       process.stderr.write(`${args.file} can't be read: ${(e as Error).message}\n`);
       this.exit(2);
     }
-    const body = await Where.ask(flags, (at) => Desk.ask(at, 'POST', '/burst', spec), null);
+    const body = await CommandTransport.request(
+      flags,
+      (at) => OperatorClient.request(at, 'POST', '/burst', spec),
+      null,
+    );
     this.exit(
-      Printer.show(body, flags.json, (b) => [
+      Printer.print(body, flags.json, (b) => [
         `${(b['verdict'] as { why: string }).why} ${String(b['total'])} generations.`,
         `Watch it with: clerk burst watch ${String(b['key'])}`,
       ]),
--- a/packages/clerk/src/commands/confirm.ts
+++ b/packages/clerk/src/commands/confirm.ts
@@ -1,22 +1,22 @@
 import { Args, Command } from '@oclif/core';
-import { Common } from '../common.js';
-import { Desk } from '../desk.js';
+import { CommonFlags } from '../common.js';
+import { OperatorClient } from '../desk.js';
 import { Printer } from '../printer.js';
-import { Where } from '../where.js';
+import { CommandTransport } from '../where.js';
 
 /** clerk confirm */
 export class ConfirmCommand extends Command {
   static override description = 'Put a stored plan in force. Doing it twice is harmless.';
   static override args = { plan: Args.string({ description: 'the plan, as clerk plan named it', required: true }) };
-  static override flags = Common;
+  static override flags = CommonFlags;
 
   async run(): Promise<void> {
     const { args, flags } = await this.parse(ConfirmCommand);
-    const body = await Where.ask(
+    const body = await CommandTransport.request(
       flags,
-      (at) => Desk.ask(at, 'POST', '/confirm', { plan: args.plan }),
+      (at) => OperatorClient.request(at, 'POST', '/confirm', { plan: args.plan }),
       (f) => f.settle('confirm', args.plan),
     );
-    this.exit(Printer.show(body, flags.json, (b) => [(b['verdict'] as { why: string }).why]));
+    this.exit(Printer.print(body, flags.json, (b) => [(b['verdict'] as { why: string }).why]));
   }
 }
--- a/packages/clerk/src/commands/drop.ts
+++ b/packages/clerk/src/commands/drop.ts
@@ -1,22 +1,22 @@
 import { Args, Command } from '@oclif/core';
-import { Common } from '../common.js';
-import { Desk } from '../desk.js';
+import { CommonFlags } from '../common.js';
+import { OperatorClient } from '../desk.js';
 import { Printer } from '../printer.js';
-import { Where } from '../where.js';
+import { CommandTransport } from '../where.js';
 
 /** clerk drop */
 export class DropCommand extends Command {
   static override description = 'Give up a stored plan. It will never take hold.';
   static override args = { plan: Args.string({ description: 'the plan, as clerk plan named it', required: true }) };
-  static override flags = Common;
+  static override flags = CommonFlags;
 
   async run(): Promise<void> {
     const { args, flags } = await this.parse(DropCommand);
-    const body = await Where.ask(
+    const body = await CommandTransport.request(
       flags,
-      (at) => Desk.ask(at, 'POST', '/drop', { plan: args.plan }),
+      (at) => OperatorClient.request(at, 'POST', '/drop', { plan: args.plan }),
       (f) => f.settle('drop', args.plan),
     );
-    this.exit(Printer.show(body, flags.json, (b) => [(b['verdict'] as { why: string }).why]));
+    this.exit(Printer.print(body, flags.json, (b) => [(b['verdict'] as { why: string }).why]));
   }
 }
--- a/packages/clerk/src/commands/loan.ts
+++ b/packages/clerk/src/commands/loan.ts
@@ -1,21 +1,27 @@
 import { Args, Command } from '@oclif/core';
-import { Common } from '../common.js';
-import { Desk } from '../desk.js';
-import { LoanStory } from '../lending/loanstory.js';
+import { CommonFlags } from '../common.js';
+import { OperatorClient } from '../desk.js';
+import { LoanReport } from '../lending/loanstory.js';
 import { Printer } from '../printer.js';
-import { Where } from '../where.js';
+import { CommandTransport } from '../where.js';
 
 /** clerk loan */
 export class LoanCommand extends Command {
   static override description = "The story of one server's loans, as one daemon heard it.";
   static override args = { server: Args.string({ description: 'the server', required: true }) };
-  static override flags = Common;
+  static override flags = CommonFlags;
 
   async run(): Promise<void> {
     const { args, flags } = await this.parse(LoanCommand);
-    const body = await Where.ask(flags, (at) => Desk.ask(at, 'GET', `/loan/${encodeURIComponent(args.server)}`), null);
+    const body = await CommandTransport.request(
+      flags,
+      (at) => OperatorClient.request(at, 'GET', `/loan/${encodeURIComponent(args.server)}`),
+      null,
+    );
     this.exit(
-      Printer.show(body, flags.json, (b) => LoanStory.lines(b as unknown as Parameters<typeof LoanStory.lines>[0])),
+      Printer.print(body, flags.json, (b) =>
+        LoanReport.formatLines(b as unknown as Parameters<typeof LoanReport.formatLines>[0]),
+      ),
     );
   }
 }
--- a/packages/clerk/src/commands/loans.ts
+++ b/packages/clerk/src/commands/loans.ts
@@ -1,20 +1,22 @@
 import { Command } from '@oclif/core';
-import { Common } from '../common.js';
-import { Desk } from '../desk.js';
-import { LoanStory } from '../lending/loanstory.js';
+import { CommonFlags } from '../common.js';
+import { OperatorClient } from '../desk.js';
+import { LoanReport } from '../lending/loanstory.js';
 import { Printer } from '../printer.js';
-import { Where } from '../where.js';
+import { CommandTransport } from '../where.js';
 
 /** clerk loans */
 export class LoansCommand extends Command {
   static override description = 'Which servers are lent: to whom, for which burst, how much, since when, and by whom.';
-  static override flags = Common;
+  static override flags = CommonFlags;
 
   async run(): Promise<void> {
     const { flags } = await this.parse(LoansCommand);
-    const body = await Where.ask(flags, (at) => Desk.ask(at, 'GET', '/loans'), null);
+    const body = await CommandTransport.request(flags, (at) => OperatorClient.request(at, 'GET', '/loans'), null);
     this.exit(
-      Printer.show(body, flags.json, (b) => LoanStory.table(b['loans'] as Parameters<typeof LoanStory.table>[0])),
+      Printer.print(body, flags.json, (b) =>
+        LoanReport.formatTable(b['loans'] as Parameters<typeof LoanReport.formatTable>[0]),
+      ),
     );
   }
 }
--- a/packages/clerk/src/commands/plan.ts
+++ b/packages/clerk/src/commands/plan.ts
@@ -1,9 +1,9 @@
 import { Args, Command } from '@oclif/core';
 import { readFile } from 'node:fs/promises';
-import { Common } from '../common.js';
-import { Desk } from '../desk.js';
+import { CommonFlags } from '../common.js';
+import { OperatorClient } from '../desk.js';
 import { Printer } from '../printer.js';
-import { Where } from '../where.js';
+import { CommandTransport } from '../where.js';
 
 /** clerk plan */
 export class PlanCommand extends Command {
@@ -13,25 +13,25 @@
   static override args = {
     file: Args.string({ description: 'a JSON file with the whole charter or configuration', required: true }),
   };
-  static override flags = Common;
+  static override flags = CommonFlags;
 
   async run(): Promise<void> {
     const { args, flags } = await this.parse(PlanCommand);
-    let text: string, charter: unknown;
+    let text: string, configuration: unknown;
     try {
       text = await readFile(args.file, 'utf8');
-      charter = JSON.parse(text);
+      configuration = JSON.parse(text);
     } catch (e) {
       process.stderr.write(`${args.file} can't be read: ${(e as Error).message}\n`);
       this.exit(2);
     }
-    const body = await Where.ask(
+    const body = await CommandTransport.request(
       flags,
-      (at) => Desk.ask(at, 'POST', '/plan', { charter }),
+      (at) => OperatorClient.request(at, 'POST', '/plan', { charter: configuration }),
       (f) => f.plan(text),
     );
     this.exit(
-      Printer.show(body, flags.json, (b) => [
+      Printer.print(body, flags.json, (b) => [
         `Plan ${String(b['plan'])} is stored against version ${String(b['base'])}.`,
         ...((b['changes'] as { words: string }[]).length === 0
           ? ['  It changes nothing.']
--- a/packages/clerk/src/commands/read.ts
+++ b/packages/clerk/src/commands/read.ts
@@ -1,32 +1,35 @@
 import { Args, Command } from '@oclif/core';
-import { Common } from '../common.js';
-import { Desk } from '../desk.js';
+import { CommonFlags } from '../common.js';
+import { OperatorClient } from '../desk.js';
 import { Printer } from '../printer.js';
-import { Where } from '../where.js';
+import { CommandTransport } from '../where.js';
 
 /** What is in force: a charter, or a configuration without the text that it was read from. */
-const held = (b: Record<string, unknown>): unknown =>
+const configurationOf = (b: Record<string, unknown>): unknown =>
   'charter' in b ? b['charter'] : b['configuration'] && { ...b['configuration'], source: undefined };
 
 /** clerk read */
 export class ReadCommand extends Command {
   static override description = 'Read back the charter in force, or the fate of a plan.';
   static override args = { plan: Args.string({ description: 'a plan; the charter in force if left out' }) };
-  static override flags = Common;
+  static override flags = CommonFlags;
 
   async run(): Promise<void> {
     const { args, flags } = await this.parse(ReadCommand);
     const path = args.plan === undefined ? '/charter' : `/plan/${encodeURIComponent(args.plan)}`;
     const plan = args.plan;
-    const body = await Where.ask(
+    const body = await CommandTransport.request(
       flags,
-      (at) => Desk.ask(at, 'GET', path),
+      (at) => OperatorClient.request(at, 'GET', path),
       (f) => (plan === undefined ? f.read() : f.fate(plan)),
     );
     this.exit(
-      Printer.show(body, flags.json, (b) =>
+      Printer.print(body, flags.json, (b) =>
         args.plan === undefined
-          ? [JSON.stringify(held(b), null, 2), `Version ${String(b['version'])}, from plan ${String(b['plan'])}.`]
+          ? [
+              JSON.stringify(configurationOf(b), null, 2),
+              `Version ${String(b['version'])}, from plan ${String(b['plan'])}.`,
+            ]
           : [(b['verdict'] as { why: string }).why],
       ),
     );
--- a/packages/clerk/src/commands/trace.ts
+++ b/packages/clerk/src/commands/trace.ts
@@ -1,9 +1,9 @@
 import { Args, Command, Flags } from '@oclif/core';
-import { Common } from '../common.js';
-import { Desk } from '../desk.js';
+import { CommonFlags } from '../common.js';
+import { OperatorClient } from '../desk.js';
 import { Printer } from '../printer.js';
-import { Where } from '../where.js';
-import { Story } from '../story.js';
+import { CommandTransport } from '../where.js';
+import { TraceReport } from '../story.js';
 
 /** clerk trace */
 export class TraceCommand extends Command {
@@ -20,20 +20,24 @@
     }),
   };
   static override flags = {
-    ...Common,
+    ...CommonFlags,
     version: Flags.integer({ description: 'the version (for a row: the fence); the newest if left out', min: 1 }),
     step: Flags.integer({ description: 'of routers and control replicas: the step under that fence', min: 0 }),
   };
 
   async run(): Promise<void> {
     const { args, flags } = await this.parse(TraceCommand);
-    const tail = flags.version === undefined ? '' : `?version=${flags.version}`;
+    const query = flags.version === undefined ? '' : `?version=${flags.version}`;
     const name = args.name ?? 'charter';
-    const body = await Where.ask(
+    const body = await CommandTransport.request(
       flags,
-      (at) => Desk.ask(at, 'GET', `/trace/${encodeURIComponent(name)}${tail}`),
+      (at) => OperatorClient.request(at, 'GET', `/trace/${encodeURIComponent(name)}${query}`),
       (f) => f.trace(args.name ?? 'configuration', flags.version ?? null, flags.step ?? null),
     );
-    this.exit(Printer.show(body, flags.json, (b) => Story.lines(b as Parameters<typeof Story.lines>[0])));
+    this.exit(
+      Printer.print(body, flags.json, (b) =>
+        TraceReport.formatLines(b as Parameters<typeof TraceReport.formatLines>[0]),
+      ),
+    );
   }
 }
--- a/packages/clerk/src/common.ts
+++ b/packages/clerk/src/common.ts
@@ -1,7 +1,7 @@
 import { Flags } from '@oclif/core';
 
 /** Flags that every command has. */
-export const Common = {
+export const CommonFlags = {
   at: Flags.string({
     description: 'IP:PORT of a daemon that serves control; more may be given; else PUMICEBARROW_AT',
     multiple: true,
--- a/packages/clerk/src/counterrequeststory.ts
+++ b/packages/clerk/src/counterrequeststory.ts
@@ -6,20 +6,20 @@
   entry: { attempt: number; state: string; by: string } | null;
 };
 
-const text = (v: unknown): string => (Array.isArray(v) ? v.join(' and ') : String(v));
-const WORDS: Record<string, (m: Record<string, unknown>) => string> = {
-  gated: (m) => `let it in by rule ${text(m['rule'])}`,
-  recorded: (m) => `had it recorded at ${text(m['owners'])}`,
+const formatValue = (v: unknown): string => (Array.isArray(v) ? v.join(' and ') : String(v));
+const STEP_TEXTS: Record<string, (m: Record<string, unknown>) => string> = {
+  gated: (m) => `let it in by rule ${formatValue(m['rule'])}`,
+  recorded: (m) => `had it recorded at ${formatValue(m['owners'])}`,
   send: (m) =>
-    `sent it to ${text(m['server'])} to ${text(m['part'])}, under charter ${text(m['version'] ?? 'as before')}`,
-  streams: (m) => `had the first piece from ${text(m['server'])}`,
-  extra: (m) => `spent an extra try, after: ${text(m['code'])}`,
-  visit: (m) => `ended it: ran ${text(m['ran'])}, ${text(m['code'])}`,
+    `sent it to ${formatValue(m['server'])} to ${formatValue(m['part'])}, under charter ${formatValue(m['version'] ?? 'as before')}`,
+  streams: (m) => `had the first piece from ${formatValue(m['server'])}`,
+  extra: (m) => `spent an extra try, after: ${formatValue(m['code'])}`,
+  visit: (m) => `ended it: ran ${formatValue(m['ran'])}, ${formatValue(m['code'])}`,
 };
 
 /** A request told so that a newcomer can follow it. */
-export const CounterRequestStory = {
-  lines(t: { key: string; daemons: Row[] }): string[] {
+export const CounterRequestTimeline = {
+  formatLines(t: { key: string; daemons: Row[] }): string[] {
     const steps = t.daemons.flatMap((d) => d.steps.map((s) => ({ d, s }))).sort((a, b) => a.s.wall - b.s.wall);
     const first = steps[0]?.s.wall ?? 0;
     return [
@@ -27,7 +27,7 @@
       ...steps.map(
         ({ d, s }) =>
           `  +${String(s.wall - first).padStart(5)} ms  ${d.id.padEnd(6)} try ${s.attempt}: ` +
-          `${WORDS[s.what]?.(s.more) ?? s.what}.`,
+          `${STEP_TEXTS[s.what]?.(s.more) ?? s.what}.`,
       ),
       ...t.daemons
         .filter((d) => d.entry)
--- a/packages/clerk/src/desk.ts
+++ b/packages/clerk/src/desk.ts
@@ -1,19 +1,19 @@
-import { request as call } from 'undici';
+import { request as httpRequest } from 'undici';
 
 type Reply = { status: number; body: Record<string, unknown> | null };
 
 /** Calls a daemon that serves control. Another address is tried only while nothing can have been heard. */
-export const Desk = {
-  async ask(
-    at: readonly string[],
+export const OperatorClient = {
+  async request(
+    addresses: readonly string[],
     method: 'GET' | 'POST',
     path: string,
     body?: unknown,
   ): Promise<Reply & { from: string }> {
-    let why = 'no address was given';
-    for (const addr of at) {
+    let failure = 'no address was given';
+    for (const addr of addresses) {
       try {
-        const r = await call(`http://${addr}${path}`, {
+        const response = await httpRequest(`http://${addr}${path}`, {
           method,
           headersTimeout: 15_000,
           bodyTimeout: 15_000,
@@ -21,22 +21,26 @@
             ? {}
             : { headers: { 'content-type': 'application/json' }, body: JSON.stringify(body) }),
         });
-        const got = (await r.body.json().catch(() => null)) as Record<string, unknown> | null;
-        return { status: r.statusCode, body: got, from: addr };
+        const responseBody = (await response.body.json().catch(() => null)) as Record<string, unknown> | null;
+        return { status: response.statusCode, body: responseBody, from: addr };
       } catch (e) {
         const code = (e as { code?: string }).code ?? String(e);
-        why = `${addr}: ${code}`;
+        failure = `${addr}: ${code}`;
         if (method === 'POST' && !['ECONNREFUSED', 'EHOSTUNREACH', 'UND_ERR_CONNECT_TIMEOUT'].includes(code)) {
           return {
             status: 0,
             body: {
-              verdict: { ran: 'maybe', code: 'torn', why: `${why}. The daemon may have done it; ask for the plan.` },
+              verdict: {
+                ran: 'maybe',
+                code: 'torn',
+                why: `${failure}. The daemon may have done it; ask for the plan.`,
+              },
             },
             from: addr,
           };
         }
       }
     }
-    return { status: 0, body: { verdict: { ran: 'no', code: 'unreached', why } }, from: '' };
+    return { status: 0, body: { verdict: { ran: 'no', code: 'unreached', why: failure } }, from: '' };
   },
 };
--- a/packages/clerk/src/fleet/commands/request.ts
+++ b/packages/clerk/src/fleet/commands/request.ts
@@ -1,8 +1,8 @@
 import { Args, Command } from '@oclif/core';
-import { Common } from '../../common.js';
+import { CommonFlags } from '../../common.js';
 import { Printer } from '../../printer.js';
-import { Where } from '../../where.js';
-import { RequestStory } from '../requeststory.js';
+import { CommandTransport } from '../../where.js';
+import { RequestTimeline } from '../requeststory.js';
 
 /** clerk request */
 export class RequestCommand extends Command {
@@ -10,11 +10,15 @@
     'Follow one request through a router: where it was placed and why, its reading, hand-over, run and verdict.';
   static override examples = ['<%= config.bin %> request first-1 --daemon 127.0.0.1:8080'];
   static override args = { id: Args.string({ description: "the request's id", required: true }) };
-  static override flags = Common;
+  static override flags = CommonFlags;
 
   async run(): Promise<void> {
     const { args, flags } = await this.parse(RequestCommand);
-    const body = await Where.ask(flags, null, (f) => f.request(args.id));
-    this.exit(Printer.show(body, flags.json, (b) => RequestStory.lines(b as Parameters<typeof RequestStory.lines>[0])));
+    const body = await CommandTransport.request(flags, null, (f) => f.request(args.id));
+    this.exit(
+      Printer.print(body, flags.json, (b) =>
+        RequestTimeline.formatLines(b as Parameters<typeof RequestTimeline.formatLines>[0]),
+      ),
+    );
   }
 }
--- a/packages/clerk/src/fleet/fleetwellness.test.ts
+++ b/packages/clerk/src/fleet/fleetwellness.test.ts
@@ -4,8 +4,8 @@
 import { expect } from 'chai';
 import type { Daemon } from './daemon.js';
 import type { FleetState } from './fleetstate.js';
-import { FleetWellness } from './fleetwellness.js';
-import { StatusLines } from './statuslines.js';
+import { RoutedFleetHealth } from './fleetwellness.js';
+import { StatusReport } from './statuslines.js';
 
 const member = (id: string) => ({ id, born: 'b', addr: '127.0.0.1:1' });
 const view: View = { epoch: 3, voters: ['k1', 'k2', 'k3'].map(member), chain: ['k1', 'k2', 'k3'].map(member) };
@@ -97,13 +97,16 @@
   ];
   for (const [name, state, want] of cases) {
     it(`is told where ${name}`, () => {
-      expect(FleetWellness.wrong(state)).to.deep.equal(want);
+      expect(RoutedFleetHealth.problems(state)).to.deep.equal(want);
     });
   }
   it('is printed with what each daemon holds since when, and how servers are staged', () => {
     const order = { server: 'i-2', stage: 'prefill', done: false, by: 'k1', mark: [3, 4] as [number, number] };
     const state = { ...one('r2', { suspected: ['i-1'] }), orders: [order] };
-    const lines = StatusLines.of({ ...state, wrong: FleetWellness.wrong(state) }, Date.UTC(2030, 0, 1));
+    const lines = StatusReport.formatLines(
+      { ...state, wrong: RoutedFleetHealth.problems(state) },
+      Date.UTC(2030, 0, 1),
+    );
     expect(lines.slice(0, 4)).to.deep.equal([
       'The fleet is not well (1):',
       '  - server i-1 is under suspicion at r2',
--- a/packages/clerk/src/lending/loanstory.ts
+++ b/packages/clerk/src/lending/loanstory.ts
@@ -1,8 +1,8 @@
 type Loan = { server: string; part: string; slots: number; holder: string; burst: string; why: string; by: string };
-type Dated = Loan & { since: number };
-type Story = { server: string; steps: { mark: [number, number]; wall: number; loan: Dated }[] };
+type LoanSince = Loan & { since: number };
+type LoanSteps = { server: string; steps: { mark: [number, number]; wall: number; loan: LoanSince }[] };
 
-const WHY: Record<string, (l: Loan) => string> = {
+const REASON_TEXTS: Record<string, (l: Loan) => string> = {
   lent: (l) => `${l.by} lent ${l.slots} slots that ${l.part} to ${l.holder}, for burst ${l.burst}`,
   live: (l) => `${l.by} called it back from ${l.holder}: a live request would have had to wait`,
   load: (l) => `${l.by} called it back from ${l.holder}: live work and what is kept leave nothing`,
@@ -11,8 +11,8 @@
 };
 
 /** Loans told so that a newcomer can follow them. */
-export const LoanStory = {
-  table(list: readonly Dated[]): string[] {
+export const LoanReport = {
+  formatTable(list: readonly LoanSince[]): string[] {
     const lent = list.filter((l) => l.slots > 0);
     if (lent.length === 0) return ['Nothing is lent.'];
     return lent.map(
@@ -21,14 +21,14 @@
         `${l.burst}, by ${l.by} since ${new Date(l.since).toISOString()}`,
     );
   },
-  lines(t: Story): string[] {
+  formatLines(t: LoanSteps): string[] {
     const first = t.steps[0]?.wall ?? 0;
     return [
       `Loans of ${t.server}:`,
       ...t.steps.map(
         (s) =>
           `  +${String(Math.round(s.wall - first)).padStart(6)} ms  ${`${s.mark[0]}.${s.mark[1]}`.padEnd(7)} ` +
-          `${WHY[s.loan.why]?.(s.loan) ?? s.loan.why}.`,
+          `${REASON_TEXTS[s.loan.why]?.(s.loan) ?? s.loan.why}.`,
       ),
     ];
   },
--- a/packages/clerk/src/lending/stories.test.ts
+++ b/packages/clerk/src/lending/stories.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
-import { BurstStory } from './burststory.js';
-import { LoanStory } from './loanstory.js';
+import { BurstReport } from './burststory.js';
+import { LoanReport } from './loanstory.js';
 
 const none = { waiting: 0, begun: 0, ran: 0, unsure: 0, dropped: 0 };
 const burst = { key: 'b', rule: 'rollout', order: 3, ended: false, gone: false, total: 4, ...none };
@@ -14,23 +14,25 @@
   ];
   for (const [name, change, want] of cases)
     it(`tells ${name}`, () =>
-      expect(BurstStory.lines({ ...burst, ...change })).to.deep.equal([`Burst b (number 3, rule rollout) ${want}`]));
+      expect(BurstReport.formatLines({ ...burst, ...change })).to.deep.equal([
+        `Burst b (number 3, rule rollout) ${want}`,
+      ]));
   it('tells one that is gone', () =>
-    expect(BurstStory.lines({ ...burst, gone: true, total: 0 })).to.deep.equal([
+    expect(BurstReport.formatLines({ ...burst, gone: true, total: 0 })).to.deep.equal([
       'Burst b is ended, and its outcomes are gone.',
     ]));
 });
 
 describe('The story of a loan', () => {
   it('tells who has what, and leaves out what is not lent', () => {
-    expect(LoanStory.table([{ ...loan, slots: 0 }])).to.deep.equal(['Nothing is lent.']);
-    expect(LoanStory.table([loan])).to.deep.equal([
+    expect(LoanReport.formatTable([{ ...loan, slots: 0 }])).to.deep.equal(['Nothing is lent.']);
+    expect(LoanReport.formatTable([loan])).to.deep.equal([
       'm1       decode     4 slots to e1 for b, by e2 since 1970-01-01T00:00:00.000Z',
     ]);
   });
   it('tells each step', () => {
     const step = (why: string, wall: number) => ({ mark: [2, wall] as [number, number], wall, loan: { ...loan, why } });
-    const got = LoanStory.lines({ server: 'm1', steps: ['lent', 'live', 'load', 'given', 'lapsed'].map(step) });
+    const got = LoanReport.formatLines({ server: 'm1', steps: ['lent', 'live', 'load', 'given', 'lapsed'].map(step) });
     expect(got).to.deep.equal([
       'Loans of m1:',
       '  +     0 ms  2.0     e2 lent 4 slots that decode to e1, for burst b.',
--- a/packages/clerk/src/story.test.ts
+++ b/packages/clerk/src/story.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
-import { Story } from './story.js';
+import { TraceReport } from './story.js';
 
-type Told = Parameters<typeof Story.lines>[0];
+type Told = Parameters<typeof TraceReport.formatLines>[0];
 type Mark = [number, number];
 const step = (mark: Mark, wall: number, via: string, from: string, hops: number) => ({
   ...{ mark, via, from, origin: 'k1', hops, age: 0, round: 9, wall },
@@ -19,7 +19,7 @@
     daemon('r4', null, [], false),
   ];
   it('of one step under a fence counts only that step, and what is newer', () => {
-    expect(Story.lines({ name: 'list', title: 'list 3.2', version: 3, step: 2, daemons })).to.deep.equal([
+    expect(TraceReport.formatLines({ name: 'list', title: 'list 3.2', version: 3, step: 2, daemons })).to.deep.equal([
       'list 3.2: 3 of 5 daemons hold it or a newer one.',
       '  +    0 ms  k1     made it, in its round 9.',
       '  +  100 ms  r1     pulled it from the sender from k1, hop 1, in its round 9.',
@@ -29,7 +29,7 @@
     ]);
   });
   it('of a version takes the last step of each daemon', () => {
-    expect(Story.lines({ name: 'row:m1', version: 3, daemons })).to.deep.equal([
+    expect(TraceReport.formatLines({ name: 'row:m1', version: 3, daemons })).to.deep.equal([
       'row:m1 3: 4 of 5 daemons hold it or a newer one.',
       '  +    0 ms  r2     pulled it from the sender from r1, hop 2, in its round 9.',
       '  +  800 ms  k1     made it, in its round 9.',
--- a/packages/clerk/src/story.ts
+++ b/packages/clerk/src/story.ts
@@ -10,9 +10,9 @@
 };
 type Row = { id: string; reached: boolean; holds: [number, number] | null; steps: Step[] };
 /** Without a step, all marks of the version are meant. */
-type Told = { name: string; version: number; step?: number; title?: string; daemons: Row[] };
+type Trace = { name: string; version: number; step?: number; title?: string; daemons: Row[] };
 
-const VIA: Record<string, string> = {
+const VIA_TEXTS: Record<string, string> = {
   origin: 'made it',
   sender: 'pulled it from the sender',
   fallback: 'pulled it elsewhere, the sender being gone',
@@ -21,39 +21,44 @@
 };
 
 /** A trace told so that a newcomer can follow it. */
-export const Story = {
-  lines(t: Told): string[] {
-    const is = (m: [number, number]): boolean => m[0] === t.version && (t.step === undefined || m[1] === t.step);
+export const TraceReport = {
+  formatLines(t: Trace): string[] {
+    const matchesTrace = (m: [number, number]): boolean =>
+      m[0] === t.version && (t.step === undefined || m[1] === t.step);
     const atLeast = (m: [number, number] | null): boolean =>
       m !== null && (m[0] > t.version || (m[0] === t.version && m[1] >= (t.step ?? 0)));
-    const text = (m: [number, number]): string => (t.step === undefined ? `${m[0]}` : m.join('.'));
-    const met = t.daemons
+    const formatMark = (m: [number, number]): string => (t.step === undefined ? `${m[0]}` : m.join('.'));
+    const arrivals = t.daemons
       .flatMap((d) => {
-        const s = d.steps.filter((x) => is(x.mark)).at(-1);
+        const s = d.steps.filter((x) => matchesTrace(x.mark)).at(-1);
         return s ? [{ d, s }] : [];
       })
       .sort((a, b) => a.s.wall - b.s.wall);
-    const first = met[0]?.s.wall ?? 0;
-    const rows = met.map(({ d, s }) => {
-      const after = `+${String(s.wall - first).padStart(5)} ms`;
-      const who = s.via === 'origin' ? '' : ` from ${s.from}, hop ${s.hops}`;
-      return `  ${after}  ${d.id.padEnd(6)} ${VIA[s.via] ?? s.via}${who}, in its round ${s.round}.`;
+    const first = arrivals[0]?.s.wall ?? 0;
+    const arrivalLines = arrivals.map(({ d, s }) => {
+      const elapsed = `+${String(s.wall - first).padStart(5)} ms`;
+      const source = s.via === 'origin' ? '' : ` from ${s.from}, hop ${s.hops}`;
+      return `  ${elapsed}  ${d.id.padEnd(6)} ${VIA_TEXTS[s.via] ?? s.via}${source}, in its round ${s.round}.`;
     });
-    const newer = t.daemons.filter((d) => d.reached && !met.some((m) => m.d.id === d.id) && atLeast(d.holds));
+    const holdersWithoutSteps = t.daemons.filter(
+      (d) => d.reached && !arrivals.some((m) => m.d.id === d.id) && atLeast(d.holds),
+    );
     const missing = t.daemons.filter((d) => d.reached && !atLeast(d.holds));
     const holders = t.daemons.filter((d) => d.reached && atLeast(d.holds));
-    const away = t.daemons.filter((d) => !d.reached);
+    const unreachable = t.daemons.filter((d) => !d.reached);
     const title = t.title ?? `${t.name} ${t.version}`;
     return [
       `${title}: ${holders.length} of ${t.daemons.length} daemons hold it or a newer one.`,
-      ...rows,
-      ...(newer.length > 0
-        ? [`  Hold it or a newer one, but no longer remember how: ${newer.map((d) => d.id).join(', ')}.`]
+      ...arrivalLines,
+      ...(holdersWithoutSteps.length > 0
+        ? [`  Hold it or a newer one, but no longer remember how: ${holdersWithoutSteps.map((d) => d.id).join(', ')}.`]
         : []),
       ...(missing.length > 0
-        ? [`  Missing: ${missing.map((d) => `${d.id} (holds ${d.holds ? text(d.holds) : 'none'})`).join(', ')}.`]
+        ? [`  Missing: ${missing.map((d) => `${d.id} (holds ${d.holds ? formatMark(d.holds) : 'none'})`).join(', ')}.`]
+        : []),
+      ...(unreachable.length > 0
+        ? [`  Unreachable, and not counted: ${unreachable.map((d) => d.id).join(', ')}.`]
         : []),
-      ...(away.length > 0 ? [`  Unreachable, and not counted: ${away.map((d) => d.id).join(', ')}.`] : []),
     ];
   },
 };
--- a/packages/clerk/src/where.ts
+++ b/packages/clerk/src/where.ts
@@ -3,34 +3,35 @@
 
 type Body = Record<string, unknown> | null;
 type Flags = { at?: string[] | undefined; daemon?: string[] | undefined };
-type Asked = Parameters<(typeof Fleet)['with']>[1];
-const HOME = '127.0.0.1:8101';
-const IP = /^(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-fA-F:]+\]):\d{1,5}$/;
-const env = (name: string): string[] => (process.env[name] ?? '').split(/[ ,]+/).filter((a) => a !== '');
+type FleetOperation = Parameters<(typeof Fleet)['with']>[1];
+const DEFAULT_OPERATOR_ADDRESS = '127.0.0.1:8101';
+const IP_AND_PORT = /^(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-fA-F:]+\]):\d{1,5}$/;
+const addressesFromEnv = (name: string): string[] => (process.env[name] ?? '').split(/[ ,]+/).filter((a) => a !== '');
 
 /**
  * Whom clerk asks: a daemon that serves control over HTTP, or a routed fleet over the daemons' own wire.
  * Invariant: a flag goes before the environment, and a fleet's own wire before HTTP.
  */
-export const Where = {
-  async ask(
+export const CommandTransport = {
+  async request(
     flags: Flags,
-    http: ((at: readonly string[]) => Promise<{ body: Body }>) | null,
-    wire: Asked | null,
+    httpRequest: ((at: readonly string[]) => Promise<{ body: Body }>) | null,
+    fleetOperation: FleetOperation | null,
   ): Promise<Body> {
-    const wires = flags.daemon ?? (flags.at ? [] : env('PUMICEBARROW_DAEMONS'));
-    if (wires.length === 0) {
-      if (!http) return { verdict: Verdicts.bad([{ path: '--daemon', why: 'is needed, or PUMICEBARROW_DAEMONS' }]) };
-      const given = flags.at ?? env('PUMICEBARROW_AT');
-      return (await http(given.length > 0 ? given : [HOME])).body;
+    const daemonAddresses = flags.daemon ?? (flags.at ? [] : addressesFromEnv('PUMICEBARROW_DAEMONS'));
+    if (daemonAddresses.length === 0) {
+      if (!httpRequest)
+        return { verdict: Verdicts.bad([{ path: '--daemon', why: 'is needed, or PUMICEBARROW_DAEMONS' }]) };
+      const operatorAddresses = flags.at ?? addressesFromEnv('PUMICEBARROW_AT');
+      return (await httpRequest(operatorAddresses.length > 0 ? operatorAddresses : [DEFAULT_OPERATOR_ADDRESS])).body;
     }
-    if (!wire)
+    if (!fleetOperation)
       return {
         verdict: Verdicts.bad([{ path: '--at', why: 'is needed: routers and control replicas do not know this' }]),
       };
-    const faults = wires
-      .filter((a) => !IP.test(a) || SettingsReader.ports(a).length > 0)
+    const faults = daemonAddresses
+      .filter((a) => !IP_AND_PORT.test(a) || SettingsReader.ports(a).length > 0)
       .map((a) => ({ path: a, why: 'is no IP number and port' }));
-    return faults.length > 0 ? { verdict: Verdicts.bad(faults) } : Fleet.with(wires, wire);
+    return faults.length > 0 ? { verdict: Verdicts.bad(faults) } : Fleet.with(daemonAddresses, fleetOperation);
   },
 };
--- a/packages/client/src/client.test.ts
+++ b/packages/client/src/client.test.ts
@@ -10,43 +10,43 @@
   list.forEach((t, i) => h.update(`${i + 1}:${t}\n`));
   return h.digest('hex').slice(0, 24);
 };
-const line = (res: ServerResponse, v: unknown): void => {
+const writeLine = (res: ServerResponse, v: unknown): void => {
   res.write(`${JSON.stringify(v)}\n`);
 };
-type Act = (res: ServerResponse) => void;
-const whole: Act = (res) => {
-  line(res, { n: 1, text: 'a' });
-  line(res, { n: 2, text: 'b' });
-  line(res, { end: true, count: 2, digest: digest(['a', 'b']) });
+type Responder = (res: ServerResponse) => void;
+const answerWhole: Responder = (res) => {
+  writeLine(res, { n: 1, text: 'a' });
+  writeLine(res, { n: 2, text: 'b' });
+  writeLine(res, { end: true, count: 2, digest: digest(['a', 'b']) });
   res.end();
 };
 const refuse =
-  (ran: string, status: number): Act =>
+  (ran: string, status: number): Responder =>
   (res) => {
     res.writeHead(status);
     res.end(JSON.stringify({ verdict: { ran, code: 'x', why: 'y', after: 2 } }));
   };
-const cases: [string, Act[], { whole: boolean; attempts: number[]; naps: number[] }][] = [
-  ['a whole answer', [whole], { whole: true, attempts: [1], naps: [] }],
+const cases: [string, Responder[], { whole: boolean; attempts: number[]; naps: number[] }][] = [
+  ['a whole answer', [answerWhole], { whole: true, attempts: [1], naps: [] }],
   [
     'not run, then whole: the next number, after the time told',
-    [refuse('no', 503), whole],
+    [refuse('no', 503), answerWhole],
     { whole: true, attempts: [1, 2], naps: [2000] },
   ],
-  ['may have run: no more tries', [refuse('maybe', 502), whole], { whole: false, attempts: [1], naps: [] }],
+  ['may have run: no more tries', [refuse('maybe', 502), answerWhole], { whole: false, attempts: [1], naps: [] }],
   [
     'torn before a piece: asks again with the next number',
-    [(res) => res.destroy(), whole],
+    [(res) => res.destroy(), answerWhole],
     { whole: true, attempts: [1, 2], naps: [1000] },
   ],
   [
     'torn after a piece: no more tries',
     [
       (res) => {
-        line(res, { n: 1, text: 'a' });
+        writeLine(res, { n: 1, text: 'a' });
         setImmediate(() => res.destroy());
       },
-      whole,
+      answerWhole,
     ],
     { whole: false, attempts: [1], naps: [] },
   ],
@@ -54,8 +54,8 @@
     'cut',
     [
       (res) => {
-        line(res, { n: 1, text: 'a' });
-        line(res, { cut: true, verdict: { ran: 'maybe', code: 'cut', why: 'z' } });
+        writeLine(res, { n: 1, text: 'a' });
+        writeLine(res, { cut: true, verdict: { ran: 'maybe', code: 'cut', why: 'z' } });
         res.end();
       },
     ],
@@ -65,7 +65,7 @@
     'a clean end without the end',
     [
       (res) => {
-        line(res, { n: 1, text: 'a' });
+        writeLine(res, { n: 1, text: 'a' });
         res.end();
       },
     ],
@@ -75,8 +75,8 @@
     'a gap',
     [
       (res) => {
-        line(res, { n: 1, text: 'a' });
-        line(res, { n: 3, text: 'c' });
+        writeLine(res, { n: 1, text: 'a' });
+        writeLine(res, { n: 3, text: 'c' });
         res.end();
       },
     ],
@@ -86,8 +86,8 @@
     'an end that does not agree',
     [
       (res) => {
-        line(res, { n: 1, text: 'a' });
-        line(res, { end: true, count: 1, digest: 'x' });
+        writeLine(res, { n: 1, text: 'a' });
+        writeLine(res, { end: true, count: 1, digest: 'x' });
         res.end();
       },
     ],
@@ -101,7 +101,7 @@
     server.close(() => done());
     server.closeAllConnections();
   });
-  for (const [name, acts, want] of cases) {
+  for (const [name, responders, want] of cases) {
     it(name, async () => {
       const attempts: number[] = [],
         naps: number[] = [];
@@ -113,22 +113,22 @@
         });
         req.on('end', () => {
           attempts.push((JSON.parse(text) as Request).attempt);
-          acts[i++]!(res);
+          responders[i++]!(res);
         });
       });
       await new Promise<void>((done) => {
         server.listen(0, '127.0.0.1', done);
       });
       const addr = `127.0.0.1:${(server.address() as { port: number }).port}`;
-      const nap = (ms: number): Promise<void> => {
+      const sleep = (ms: number): Promise<void> => {
         naps.push(ms);
         return Promise.resolve();
       };
-      const got = await Client.make([addr], { nap }).request({ key: 'k', prefix: 'p', part: 'q' });
+      const got = await Client.make([addr], { sleep: sleep }).request({ key: 'k', prefix: 'p', part: 'q' });
       expect({ whole: got.whole, attempts, naps }).to.deep.equal(want);
     });
   }
-  const listen = async (deal: (v: Request, res: ServerResponse, n: number) => void): Promise<string> => {
+  const listen = async (respond: (v: Request, res: ServerResponse, n: number) => void): Promise<string> => {
     let n = 0;
     server = createServer((req, res) => {
       let text = '';
@@ -137,7 +137,7 @@
       });
       req.on('end', () => {
         if (req.url === '/owners') res.end(JSON.stringify({ owners: ['e1/a', 'e2/b'] }));
-        else deal(JSON.parse(text) as Request, res, ++n);
+        else respond(JSON.parse(text) as Request, res, ++n);
       });
     });
     await new Promise<void>((done) => {
@@ -146,29 +146,29 @@
     return `127.0.0.1:${(server.address() as { port: number }).port}`;
   };
   const body = { key: 'k', prefix: 'p', part: 'q' };
-  const nap = (): Promise<void> => Promise.resolve();
+  const sleep = (): Promise<void> => Promise.resolve();
 
   it('a connection in use that fails as an unreachable host does spends the number', async () => {
     const attempts: number[] = [];
-    let sock: Socket | null = null;
+    let socket: Socket | null = null;
     const addr = await listen((v, res, n) => {
       attempts.push(v.attempt);
-      if (n === 1) sock?.destroy(Object.assign(new Error('x'), { code: 'EHOSTUNREACH' }));
-      else whole(res);
+      if (n === 1) socket?.destroy(Object.assign(new Error('x'), { code: 'EHOSTUNREACH' }));
+      else answerWhole(res);
     });
-    const met = (s: Socket): void => {
-      sock = s;
+    const onConnect = (s: Socket): void => {
+      socket = s;
     };
-    const got = await Client.make([addr], { nap, met }).request(body);
+    const got = await Client.make([addr], { sleep: sleep, onConnect: onConnect }).request(body);
     expect({ whole: got.whole, attempts }).to.deep.equal({ whole: true, attempts: [1, 2] });
   });
   it('a daemon that is not there spends nothing, and the next is asked', async () => {
     const attempts: number[] = [];
     const addr = await listen((v, res) => {
       attempts.push(v.attempt);
-      whole(res);
+      answerWhole(res);
     });
-    const got = await Client.make(['127.0.0.1:1', addr], { nap }).request(body);
+    const got = await Client.make(['127.0.0.1:1', addr], { sleep: sleep }).request(body);
     expect({ whole: got.whole, attempts }).to.deep.equal({ whole: true, attempts: [1] });
   });
   it('names the owners that a daemon gave, the same for each call of a key', async () => {
@@ -176,10 +176,10 @@
     const addr = await listen((v, res, n) => {
       named.push(v.owners);
       if (n === 1) refuse('no', 503)(res);
-      else whole(res);
+      else answerWhole(res);
     });
     // By the older name of request.
-    await Client.make([addr], { nap, pin: true }).visit(body);
+    await Client.make([addr], { sleep: sleep, pin: true }).visit(body);
     expect(named).to.deep.equal([
       ['e1/a', 'e2/b'],
       ['e1/a', 'e2/b'],
--- a/packages/client/src/client.ts
+++ b/packages/client/src/client.ts
@@ -1,7 +1,7 @@
 import type { Socket } from 'node:net';
 import type { Request, Verdict } from './generated.js';
-import { Line } from './line.js';
-import type { Trying } from './trying.js';
+import { DaemonClient } from './line.js';
+import type { AttemptResult } from './trying.js';
 import type { RequestResult } from './requestresult.js';
 
 type Options = {
@@ -11,20 +11,20 @@
   deadline?: number;
   /** Names the owners of each request, so that it runs once even if a call is doubled on its way. */
   pin?: boolean;
-  nap?: (ms: number) => Promise<void>;
-  met?: (s: Socket) => void;
+  sleep?: (ms: number) => Promise<void>;
+  onConnect?: (s: Socket) => void;
 };
-const ASK = 1000;
-const AGAIN = 1;
-const SOON = 0.2;
+const OWNERS_TIMEOUT_MS = 1000;
+const RETRY_DELAY_S = 1;
+const UNREACHED_RETRY_DELAY_S = 0.2;
 const sleep = (ms: number): Promise<void> =>
   new Promise((done) => {
     setTimeout(done, ms);
   });
 const unreached: Verdict = { ran: 'no', code: 'unreached', why: 'no daemon could be reached' };
 /** Whether asking again is safe: nothing was used, it has not run, or the next daemon will know if it may have. */
-const again = (t: Extract<Trying, { whole: false }>): boolean =>
-  !t.made || t.verdict.ran === 'no' || (t.verdict.code === 'torn' && t.pieces === 0);
+const canRetry = (result: Extract<AttemptResult, { whole: false }>): boolean =>
+  !result.connected || result.verdict.ran === 'no' || (result.verdict.code === 'torn' && result.pieces === 0);
 
 /**
  * A caller. Invariants: an attempt number is used once, but for a connection that was never made; a request is tried
@@ -32,48 +32,53 @@
  * if it is whole; nothing goes on after the deadline.
  */
 export const Client = {
-  make(daemons: readonly string[], o: Options = {}) {
-    const line = Line.make(o.met);
-    const tries = o.tries ?? 4;
-    const nap = o.nap ?? sleep;
+  make(daemons: readonly string[], options: Options = {}) {
+    const daemonClient = DaemonClient.make(options.onConnect);
+    const maxAttempts = options.tries ?? 4;
+    const sleepFor = options.sleep ?? sleep;
     let next = 0;
-    const daemon = (): string => daemons[next++ % daemons.length]!;
-    const pins = async (): Promise<string[] | null> => {
+    const nextDaemon = (): string => daemons[next++ % daemons.length]!;
+    const queryOwners = async (): Promise<string[] | null> => {
       for (let i = 0; i < daemons.length; i++) {
-        const got = await line.owners(daemon(), ASK);
-        if (got) return got;
+        const named = await daemonClient.owners(nextDaemon(), OWNERS_TIMEOUT_MS);
+        if (named) return named;
       }
       return null;
     };
-    const caller = {
-      close: line.close,
+    const client = {
+      close: daemonClient.close,
       async request(
-        v: Omit<Request, 'attempt'>,
-        piece: (text: string) => void = () => undefined,
+        request: Omit<Request, 'attempt'>,
+        onPiece: (text: string) => void = () => undefined,
       ): Promise<RequestResult> {
-        const end = performance.now() + (o.deadline ?? 60_000);
-        const owners = o.pin ? await pins() : null;
-        if (o.pin && !owners) return { whole: false, verdict: unreached, pieces: 0, attempt: 0 };
-        const named = owners ? { ...v, owners: owners as [string, string] } : v;
+        const deadline = performance.now() + (options.deadline ?? 60_000);
+        const owners = options.pin ? await queryOwners() : null;
+        if (options.pin && !owners) return { whole: false, verdict: unreached, pieces: 0, attempt: 0 };
+        const pinned = owners ? { ...request, owners: owners as [string, string] } : request;
         let attempt = 1;
         for (let i = 1; ; i++) {
-          const got = await line.request(
-            daemon(),
-            { ...named, attempt },
-            Math.max(1, Math.ceil(end - performance.now())),
-            piece,
+          const result = await daemonClient.request(
+            nextDaemon(),
+            { ...pinned, attempt },
+            Math.max(1, Math.ceil(deadline - performance.now())),
+            onPiece,
           );
-          if (got.whole) return { whole: true, text: got.text, attempt };
-          const wait = (got.verdict.after ?? (got.made ? AGAIN : SOON)) * 1000;
-          if (!again(got) || i >= tries || performance.now() + wait > end) {
-            return { whole: false, verdict: got.made ? got.verdict : unreached, pieces: got.pieces, attempt };
+          if (result.whole) return { whole: true, text: result.text, attempt };
+          const delayMs = (result.verdict.after ?? (result.connected ? RETRY_DELAY_S : UNREACHED_RETRY_DELAY_S)) * 1000;
+          if (!canRetry(result) || i >= maxAttempts || performance.now() + delayMs > deadline) {
+            return {
+              whole: false,
+              verdict: result.connected ? result.verdict : unreached,
+              pieces: result.pieces,
+              attempt,
+            };
           }
-          if (got.made) attempt++;
-          await nap(wait);
+          if (result.connected) attempt++;
+          await sleepFor(delayMs);
         }
       },
     };
     /** `visit` is the older name, under which callers know it. */
-    return { ...caller, visit: caller.request };
+    return { ...client, visit: client.request };
   },
 };
--- a/packages/client/src/index.ts
+++ b/packages/client/src/index.ts
@@ -1,5 +1,5 @@
 export { Client } from './client.js';
-export { Line } from './line.js';
+export { DaemonClient } from './line.js';
 export { type RequestResult } from './requestresult.js';
-export { type Trying } from './trying.js';
+export { type AttemptResult } from './trying.js';
 export type * from './generated.js';
--- a/packages/client/src/line.ts
+++ b/packages/client/src/line.ts
@@ -1,43 +1,48 @@
 import { createHash } from 'node:crypto';
-import { request as call, Agent, buildConnector } from 'undici';
+import { request as httpRequest, Agent, buildConnector } from 'undici';
 import type { Socket } from 'node:net';
 import type { AnswerLine, Request, Verdict } from './generated.js';
-import type { Trying } from './trying.js';
+import type { AttemptResult } from './trying.js';
 
-const LONGEST = 1024 * 1024;
-const CONNECT = 1000;
-const torn = (why: string): Verdict => ({ ran: 'maybe', code: 'torn', why });
+const MAX_LINE_CHARACTERS = 1024 * 1024;
+const CONNECT_TIMEOUT_MS = 1000;
+const tornVerdict = (why: string): Verdict => ({ ran: 'maybe', code: 'torn', why });
 
 /** Checks lines as they come: gives what came of the call once that is known, else null. */
-const reader = (piece: (text: string) => void) => {
+const createStreamReader = (onPiece: (text: string) => void) => {
   const hash = createHash('sha256');
-  let n = 0;
+  let pieceCount = 0;
   let text = '';
-  let held = '';
-  const short = (verdict: Verdict): Trying => ({ whole: false, verdict, pieces: n, made: true });
-  const read = (line: AnswerLine): Trying | null => {
-    if ('cut' in line) return short(line.verdict);
+  let buffer = '';
+  const incomplete = (verdict: Verdict): AttemptResult => ({
+    whole: false,
+    verdict,
+    pieces: pieceCount,
+    connected: true,
+  });
+  const readLine = (line: AnswerLine): AttemptResult | null => {
+    if ('cut' in line) return incomplete(line.verdict);
     if ('end' in line) {
-      const good = line.count === n && line.digest === hash.digest('hex').slice(0, 24);
-      return good ? { whole: true, text } : short(torn('the end does not agree with the pieces'));
+      const intact = line.count === pieceCount && line.digest === hash.digest('hex').slice(0, 24);
+      return intact ? { whole: true, text } : incomplete(tornVerdict('the end does not agree with the pieces'));
     }
-    if (line.n !== n + 1) return short(torn('a piece is missing or came twice'));
-    n = line.n;
-    hash.update(`${n}:${line.text}\n`);
+    if (line.n !== pieceCount + 1) return incomplete(tornVerdict('a piece is missing or came twice'));
+    pieceCount = line.n;
+    hash.update(`${pieceCount}:${line.text}\n`);
     text += line.text;
-    piece(line.text);
+    onPiece(line.text);
     return null;
   };
   return {
-    short,
-    feed(bit: string): Trying | null {
-      held += bit;
-      for (let i = held.indexOf('\n'); i >= 0; i = held.indexOf('\n')) {
-        const got = read(JSON.parse(held.slice(0, i)) as AnswerLine);
-        if (got) return got;
-        held = held.slice(i + 1);
+    short: incomplete,
+    push(chunk: string): AttemptResult | null {
+      buffer += chunk;
+      for (let i = buffer.indexOf('\n'); i >= 0; i = buffer.indexOf('\n')) {
+        const result = readLine(JSON.parse(buffer.slice(0, i)) as AnswerLine);
+        if (result) return result;
+        buffer = buffer.slice(i + 1);
       }
-      return held.length > LONGEST ? short(torn('a line too long')) : null;
+      return buffer.length > MAX_LINE_CHARACTERS ? incomplete(tornVerdict('a line too long')) : null;
     },
   };
 };
@@ -46,54 +51,63 @@
  * A caller's connections. Invariants: only an error that came of making a connection says that the attempt was not
  * used; no call outlasts the time it is given.
  */
-export const Line = {
-  make(met: (s: Socket) => void = () => undefined) {
-    const unmade = new WeakSet<object>();
-    const dial = buildConnector({ timeout: CONNECT });
+export const DaemonClient = {
+  make(onConnect: (s: Socket) => void = () => undefined) {
+    const connectErrors = new WeakSet<object>();
+    const connect = buildConnector({ timeout: CONNECT_TIMEOUT_MS });
     const agent = new Agent({
       connect: (o, done) =>
-        dial(o, (e, s) => {
+        connect(o, (e, s) => {
           if (e) {
-            unmade.add(e);
+            connectErrors.add(e);
             done(e, null);
             return;
           }
-          met(s);
+          onConnect(s);
           done(null, s);
         }),
     });
     return {
       close: (): Promise<void> => agent.destroy(),
       /** The two lives that are to record a request, as a daemon names them; null when it does not. */
-      async owners(addr: string, ms: number): Promise<string[] | null> {
+      async owners(addr: string, timeoutMs: number): Promise<string[] | null> {
         try {
-          const r = await call(`http://${addr}/owners`, { dispatcher: agent, signal: AbortSignal.timeout(ms) });
-          const got = (await r.body.json()) as { owners?: string[] };
-          return r.statusCode === 200 && got.owners?.length === 2 ? got.owners : null;
+          const response = await httpRequest(`http://${addr}/owners`, {
+            dispatcher: agent,
+            signal: AbortSignal.timeout(timeoutMs),
+          });
+          const reply = (await response.body.json()) as { owners?: string[] };
+          return response.statusCode === 200 && reply.owners?.length === 2 ? reply.owners : null;
         } catch {
           return null;
         }
       },
-      async request(addr: string, v: Request, ms: number, piece: (text: string) => void): Promise<Trying> {
-        const lines = reader(piece);
+      async request(
+        addr: string,
+        request: Request,
+        timeoutMs: number,
+        onPiece: (text: string) => void,
+      ): Promise<AttemptResult> {
+        const reader = createStreamReader(onPiece);
         try {
-          const r = await call(`http://${addr}/visit`, {
+          const response = await httpRequest(`http://${addr}/visit`, {
             method: 'POST',
             dispatcher: agent,
-            signal: AbortSignal.timeout(ms),
+            signal: AbortSignal.timeout(timeoutMs),
             headers: { 'content-type': 'application/json' },
-            body: JSON.stringify(v),
+            body: JSON.stringify(request),
           });
-          if (r.statusCode !== 200) return lines.short(((await r.body.json()) as { verdict: Verdict }).verdict);
-          for await (const bit of r.body.setEncoding('utf8') as AsyncIterable<string>) {
-            const got = lines.feed(bit);
-            if (got) return got;
+          if (response.statusCode !== 200)
+            return reader.short(((await response.body.json()) as { verdict: Verdict }).verdict);
+          for await (const chunk of response.body.setEncoding('utf8') as AsyncIterable<string>) {
+            const result = reader.push(chunk);
+            if (result) return result;
           }
-          return lines.short(torn('the stream ended without its end'));
+          return reader.short(tornVerdict('the stream ended without its end'));
         } catch (e) {
-          const made = !(typeof e === 'object' && e !== null && unmade.has(e));
-          const got = lines.short(torn((e as { code?: string }).code ?? String(e)));
-          return got.whole ? got : { ...got, made };
+          const connected = !(typeof e === 'object' && e !== null && connectErrors.has(e));
+          const result = reader.short(tornVerdict((e as { code?: string }).code ?? String(e)));
+          return result.whole ? result : { ...result, connected: connected };
         }
       },
     };
--- a/packages/client/src/trying.ts
+++ b/packages/client/src/trying.ts
@@ -1,4 +1,5 @@
 import type { Verdict } from './generated.js';
 
 /** What came of one call. `made`: a connection was made, so the attempt number is spent. */
-export type Trying = { whole: true; text: string } | { whole: false; verdict: Verdict; pieces: number; made: boolean };
+export type AttemptResult =
+  { whole: true; text: string } | { whole: false; verdict: Verdict; pieces: number; connected: boolean };
--- a/packages/counterd/src/main.ts
+++ b/packages/counterd/src/main.ts
@@ -4,7 +4,7 @@
 import { Tuned } from '@pumicebarrow/purge';
 import { Settings } from './settings.js';
 
-const LIST = [
+const OPTIONS = [
   { name: 'id', help: "the daemon's name", kind: 'text' },
   { name: 'addr', help: 'IP:PORT at which other daemons find it', kind: 'text' },
   { name: 'hear', help: 'IP:PORT to listen at, where that is not addr', kind: 'text' },
@@ -19,35 +19,39 @@
 /** counterd: the counter library on a real machine. */
 export const Main = {
   async run(argv: readonly string[]): Promise<void> {
-    const s = await Program.settings('counterd', 'a counter daemon of pumicebarrow', LIST, Settings, argv);
+    const settings = await Program.settings('counterd', 'a counter daemon of pumicebarrow', OPTIONS, Settings, argv);
     try {
-      const world = await Machine.make(s.id, s.hear ?? s.addr, s.level ?? 'info', null);
-      const back = HttpBack.make(),
-        town = HttpTown.make(s.town);
-      const meters = Meters.make();
-      const meter = RequestMeter.make(meters, world.clock.mono);
-      const d = Counter.make(
-        meter.listen(world),
+      const world = await Machine.make(settings.id, settings.hear ?? settings.addr, settings.level ?? 'info', null);
+      const modelServers = HttpBack.make(),
+        inventory = HttpTown.make(settings.town);
+      const metrics = Meters.make();
+      const requestMetrics = RequestMeter.make(metrics, world.clock.mono);
+      const daemon = Counter.make(
+        requestMetrics.listen(world),
         {
-          id: s.id,
-          addr: s.addr,
-          site: s.site,
-          seeds: s.seeds,
-          control: s.control ?? false,
-          tunes: { ...Tuned, ...s.purge },
+          id: settings.id,
+          addr: settings.addr,
+          site: settings.site,
+          seeds: settings.seeds,
+          control: settings.control ?? false,
+          tunes: { ...Tuned, ...settings.purge },
         },
-        back,
-        town,
+        modelServers,
+        inventory,
       );
-      Gauges.make(meters, d, world.clock.mono);
-      const timed = { ...d, request: (v: Request, sink: CallerSink) => d.request(v, meter.timed(v, sink)) };
-      const front = await Front.make(world, timed, s.control ?? false, s.http, meters);
-      d.start();
+      Gauges.make(metrics, daemon, world.clock.mono);
+      const measuredDaemon = {
+        ...daemon,
+        request: (request: Request, writer: CallerSink) =>
+          daemon.request(request, requestMetrics.timed(request, writer)),
+      };
+      const httpServer = await Front.make(world, measuredDaemon, settings.control ?? false, settings.http, metrics);
+      daemon.start();
       Program.until(async () => {
-        await d.leave(s.grace ?? 8000);
-        d.stop();
-        await front.close();
-        await Promise.all([back.close(), town.close(), world.wire.close()]);
+        await daemon.leave(settings.grace ?? 8000);
+        daemon.stop();
+        await httpServer.close();
+        await Promise.all([modelServers.close(), inventory.close(), world.wire.close()]);
       });
     } catch (e) {
       Program.failed('counterd', e);
--- a/packages/registryd/src/index.ts
+++ b/packages/registryd/src/index.ts
@@ -1,3 +1,3 @@
-export { CoreFront } from './corefront.js';
+export { CoreHttpServer } from './corefront.js';
 export { Main } from './main.js';
 export { Settings } from './settings.js';
--- a/packages/registryd/src/main.ts
+++ b/packages/registryd/src/main.ts
@@ -1,10 +1,10 @@
 import { FileDisk, Machine, Meters, Program, SettingsReader } from '@pumicebarrow/forms';
 import { Tuned } from '@pumicebarrow/purge';
 import { CoreMeter, Registrar } from '@pumicebarrow/registry';
-import { CoreFront } from './corefront.js';
+import { CoreHttpServer } from './corefront.js';
 import { Settings } from './settings.js';
 
-const LIST = [
+const OPTIONS = [
   { name: 'id', help: "the daemon's name", kind: 'text' },
   { name: 'addr', help: 'IP:PORT at which other daemons find it', kind: 'text' },
   { name: 'hear', help: 'IP:PORT to listen at, where that is not addr', kind: 'text' },
@@ -18,32 +18,40 @@
 /** registryd: the registry library on a real machine. */
 export const Main = {
   async run(argv: readonly string[]): Promise<void> {
-    const s = await Program.settings('registryd', 'a core daemon of pumicebarrow', LIST, Settings, argv);
-    const folder = await SettingsReader.folder(s.data);
-    if (folder.err) Program.wrong('registryd', folder.val);
+    const settings = await Program.settings('registryd', 'a core daemon of pumicebarrow', OPTIONS, Settings, argv);
+    const dataFolder = await SettingsReader.folder(settings.data);
+    if (dataFolder.err) Program.wrong('registryd', dataFolder.val);
     try {
-      const world = await Machine.make(s.id, s.hear ?? s.addr, s.level ?? 'info', await FileDisk.make(s.data));
-      const meters = Meters.make();
-      const made = await Registrar.make(CoreMeter.listen(world, meters), {
-        id: s.id,
-        addr: s.addr,
-        site: s.site,
-        seeds: s.seeds,
-        ...(s.losses === undefined ? {} : { losses: s.losses }),
-        ...(s.first === undefined ? {} : { first: s.first }),
-        tunes: { ...Tuned, ...s.purge },
+      const world = await Machine.make(
+        settings.id,
+        settings.hear ?? settings.addr,
+        settings.level ?? 'info',
+        await FileDisk.make(settings.data),
+      );
+      const metrics = Meters.make();
+      const created = await Registrar.make(CoreMeter.listen(world, metrics), {
+        id: settings.id,
+        addr: settings.addr,
+        site: settings.site,
+        seeds: settings.seeds,
+        ...(settings.losses === undefined ? {} : { losses: settings.losses }),
+        ...(settings.first === undefined ? {} : { first: settings.first }),
+        tunes: { ...Tuned, ...settings.purge },
       });
-      if (made.err) throw new Error(made.val);
-      const d = made.val;
-      CoreMeter.levels(meters, d);
-      const front = s.http
-        ? await CoreFront.make(s.http, meters, () => ({ life: d.core.life(), speaks: d.core.live() }))
+      if (created.err) throw new Error(created.val);
+      const node = created.val;
+      CoreMeter.levels(metrics, node);
+      const httpServer = settings.http
+        ? await CoreHttpServer.make(settings.http, metrics, () => ({
+            life: node.core.life(),
+            speaks: node.core.live(),
+          }))
         : null;
-      d.start();
+      node.start();
       Program.until(async () => {
-        await d.leave();
-        d.stop();
-        await front?.close();
+        await node.leave();
+        node.stop();
+        await httpServer?.close();
         await world.wire.close();
       });
     } catch (e) {
