--- a/examples/counter.mjs
+++ b/examples/counter.mjs
@@ -1,4 +1,4 @@
-// Embeds parts of the data plane by themselves: the request ledger, the stream check and the queue.
+// Embeds parts of the data plane on their own: the request records, the check of answer streams and the request queue.
 import { RealClock } from '@pumicebarrow/forms';
 import { Ledger, StreamCheck, Queue } from '@pumicebarrow/counter';
 
@@ -12,7 +12,7 @@
 console.log('piece 1:', check.look({ key: 'k', attempt: 1, born: 'life-1', n: 1, text: 'yes' }).ok);
 console.log('piece 1 again:', check.look({ key: 'k', attempt: 1, born: 'life-1', n: 1, text: 'yes' }));
 
-const rule = (name, urgency) => ({ name, urgency, weight: 1, limit: 9, waitlist: 9, deadline: 1000, pieces: 1, bytes: 1 });
-const list = Queue.make(clock);
-for (const r of [rule('review', 1), rule('verdict', 9)]) void list.enter(r, clock.mono() + 60_000).turn.then(() => console.log('turn:', r.name));
-list.pump(() => true);
+const route = (name, urgency) => ({ name, urgency, weight: 1, limit: 9, waitlist: 9, deadline: 1000, pieces: 1, bytes: 1 });
+const queue = Queue.make(clock);
+for (const r of [route('review', 1), route('verdict', 9)]) void queue.enter(r, clock.mono() + 60_000).turn.then(() => console.log('turn:', r.name));
+queue.pump(() => true);
--- a/examples/registry.mjs
+++ b/examples/registry.mjs
@@ -1,4 +1,4 @@
-// Embeds the control plane: three cores in this process, with data folders, confirm a charter through a chain.
+// Embeds the control plane: three core daemons in this process, with data folders, confirm a configuration through a chain.
 import { FileDisk, Logs, Machine, Post } from '@pumicebarrow/forms';
 import { Tuned } from '@pumicebarrow/purge';
 import { ControlClient, Registrar } from '@pumicebarrow/registry';
@@ -13,20 +13,20 @@
 for (let i = 0; i < 4; i++) addrs.push(`127.0.0.1:${await port()}`);
 const cores = addrs.slice(0, 3);
 const worlds = [];
-const made = [];
+const nodes = [];
 for (const [i, addr] of cores.entries()) {
   const world = { ...(await Machine.make(`c${i + 1}`, addr, 'warn', await FileDisk.make(join(dir, `c${i + 1}`)))), log: Logs.quiet };
-  const r = await Registrar.make(world, { id: `c${i + 1}`, addr, site: 'here', seeds: cores.filter((a) => a !== addr), tunes: Tuned });
-  if (r.err) throw new Error(r.val);
-  r.val.start();
+  const created = await Registrar.make(world, { id: `c${i + 1}`, addr, site: 'here', seeds: cores.filter((a) => a !== addr), tunes: Tuned });
+  if (created.err) throw new Error(created.val);
+  created.val.start();
   worlds.push(world);
-  made.push(r.val);
+  nodes.push(created.val);
 }
 const world = { ...(await Machine.make('op', addrs[3], 'warn', null)), log: Logs.quiet };
 worlds.push(world);
-const me = { id: 'op', born: 'first', addr: addrs[3], site: 'here', role: 'counter' };
-const line = ControlClient.make(world, Post.make(world, () => me), () => cores);
-const charter = {
+const self = { id: 'op', born: 'first', addr: addrs[3], site: 'here', role: 'counter' };
+const controlClient = ControlClient.make(world, Post.make(world, () => self), () => cores);
+const configuration = {
   sites: ['here'], fallback: 'verdict',
   rules: [{ name: 'verdict', weight: 1, urgency: 9, limit: 5, waitlist: 5, deadline: 2000, pieces: 2, bytes: 1000 }],
   servers: [{ id: 'm1', site: 'here', part: 'prefill', slots: 4 }, { id: 'm2', site: 'here', part: 'decode', slots: 4 }],
@@ -34,16 +34,16 @@
 };
 const write = async (command) => {
   for (;;) {
-    const { ruling } = await line.write(command);
+    const { ruling } = await controlClient.write(command);
     if (ruling.verdict.code !== 'unready') return ruling;
   }
 };
-await write({ do: 'plan', id: 'first', base: 0, charter });
-await write({ do: 'plan', id: 'second', base: 0, charter });
+await write({ do: 'plan', id: 'first', base: 0, charter: configuration });
+await write({ do: 'plan', id: 'second', base: 0, charter: configuration });
 console.log((await write({ do: 'confirm', id: 'first' })).verdict.why);
 console.log((await write({ do: 'confirm', id: 'second' })).verdict.why);
-console.log(`the tail has version ${(await line.read(undefined, 5000)).charter.version}`);
-for (const m of made) m.stop();
+console.log(`the tail has version ${(await controlClient.read(undefined, 5000)).charter.version}`);
+for (const m of nodes) m.stop();
 await Promise.all(worlds.map((w) => w.wire.close()));
 await rm(dir, { recursive: true });
 process.exit(0);
--- a/packages/clerk/src/commands/burstbegin.ts
+++ b/packages/clerk/src/commands/burstbegin.ts
@@ -5,12 +5,16 @@
 import { Printer } from '../printer.js';
 import { CommandTransport } from '../where.js';
 
-/** clerk burst begin */
+/** The command `clerk burst begin`. */
 export class BurstBeginCommand extends Command {
-  static override description = 'Begin a burst. Said again with the same file it is harmless: its key names it.';
+  static override description =
+    'Begin a burst. Repeating it with the same file has no effect, because the key identifies the burst.';
   static override examples = ['<%= config.bin %> burst begin burst.json'];
   static override args = {
-    file: Args.string({ description: 'a JSON file: key, rule, prompts, samples, repeats', required: true }),
+    file: Args.string({
+      description: 'JSON file with the keys key, rule (name of a route), prompts, samples, repeats',
+      required: true,
+    }),
   };
   static override flags = CommonFlags;
 
--- a/packages/clerk/src/commands/burstend.ts
+++ b/packages/clerk/src/commands/burstend.ts
@@ -4,11 +4,11 @@
 import { Printer } from '../printer.js';
 import { CommandTransport } from '../where.js';
 
-/** clerk burst end */
+/** The command `clerk burst end`. */
 export class BurstEndCommand extends Command {
   static override description =
-    'End a burst: what waits is dropped, what was begun runs on. Of one that is over, forget the outcomes.';
-  static override args = { key: Args.string({ description: "the burst's key", required: true }) };
+    'End a burst: waiting generations are dropped, running ones finish. For a finished burst, delete its outcomes.';
+  static override args = { key: Args.string({ description: 'key of the burst', required: true }) };
   static override flags = CommonFlags;
 
   async run(): Promise<void> {
--- a/packages/clerk/src/commands/bursts.ts
+++ b/packages/clerk/src/commands/bursts.ts
@@ -5,9 +5,9 @@
 import { Printer } from '../printer.js';
 import { CommandTransport } from '../where.js';
 
-/** clerk bursts */
+/** The command `clerk bursts`. */
 export class BurstsCommand extends Command {
-  static override description = 'The bursts that the core keeps, in the order of their beginning.';
+  static override description = 'List the bursts stored by the core, in the order in which they began.';
   static override flags = CommonFlags;
 
   async run(): Promise<void> {
@@ -16,7 +16,7 @@
     this.exit(
       Printer.print(body, flags.json, (b) => {
         const list = b['bursts'] as Parameters<typeof BurstReport.formatLines>[0][];
-        return list.length === 0 ? ['The core keeps no burst.'] : list.flatMap((s) => BurstReport.formatLines(s));
+        return list.length === 0 ? ['The core has no bursts.'] : list.flatMap((s) => BurstReport.formatLines(s));
       }),
     );
   }
--- a/packages/clerk/src/commands/burstwatch.ts
+++ b/packages/clerk/src/commands/burstwatch.ts
@@ -10,14 +10,15 @@
 
 type Summary = Parameters<typeof BurstReport.formatLines>[0];
 const POLL_INTERVAL_MS = 500;
-/** How often in a row nobody may reply before it is given up. */
+/** Consecutive polls without a summary before the command gives up. */
 const MAX_CONSECUTIVE_FAILURES = 20;
 
-/** clerk burst watch */
+/** The command `clerk burst watch`. */
 export class BurstWatchCommand extends Command {
-  static override description = 'Follow a burst until each generation has its outcome. Leaving it stops nothing.';
-  static override args = { key: Args.string({ description: "the burst's key", required: true }) };
-  static override flags = { ...CommonFlags, once: Flags.boolean({ description: 'look once, and end' }) };
+  static override description =
+    'Show the progress of a burst until each generation has an outcome. Interrupting the command does not end the burst.';
+  static override args = { key: Args.string({ description: 'key of the burst', required: true }) };
+  static override flags = { ...CommonFlags, once: Flags.boolean({ description: 'print the state once and exit' }) };
 
   async run(): Promise<void> {
     const { args, flags } = await this.parse(BurstWatchCommand);
--- a/packages/clerk/src/commands/confirm.ts
+++ b/packages/clerk/src/commands/confirm.ts
@@ -4,10 +4,12 @@
 import { Printer } from '../printer.js';
 import { CommandTransport } from '../where.js';
 
-/** clerk confirm */
+/** The command `clerk confirm`. */
 export class ConfirmCommand extends Command {
-  static override description = 'Put a stored plan in force. Doing it twice is harmless.';
-  static override args = { plan: Args.string({ description: 'the plan, as clerk plan named it', required: true }) };
+  static override description = 'Put a stored plan in force. Repeating it has no effect.';
+  static override args = {
+    plan: Args.string({ description: 'name of the plan, as printed by clerk plan', required: true }),
+  };
   static override flags = CommonFlags;
 
   async run(): Promise<void> {
--- a/packages/clerk/src/commands/counterrequest.ts
+++ b/packages/clerk/src/commands/counterrequest.ts
@@ -5,11 +5,11 @@
 import { CommandTransport } from '../where.js';
 import { CounterRequestTimeline } from '../counterrequeststory.js';
 
-/** clerk visit */
+/** The command `clerk visit`. */
 export class CounterRequestCommand extends Command {
   static override description =
-    'Follow one request: its admission, its record, the servers it was sent to, its outcome.';
-  static override args = { key: Args.string({ description: "the request's key", required: true }) };
+    'Show one request: its admission, its record, the servers it was sent to and its outcome.';
+  static override args = { key: Args.string({ description: 'key of the request', required: true }) };
   static override flags = CommonFlags;
 
   async run(): Promise<void> {
--- a/packages/clerk/src/commands/drop.ts
+++ b/packages/clerk/src/commands/drop.ts
@@ -4,10 +4,12 @@
 import { Printer } from '../printer.js';
 import { CommandTransport } from '../where.js';
 
-/** clerk drop */
+/** The command `clerk drop`. */
 export class DropCommand extends Command {
-  static override description = 'Give up a stored plan. It will never take hold.';
-  static override args = { plan: Args.string({ description: 'the plan, as clerk plan named it', required: true }) };
+  static override description = 'Discard a stored plan. It can no longer be confirmed.';
+  static override args = {
+    plan: Args.string({ description: 'name of the plan, as printed by clerk plan', required: true }),
+  };
   static override flags = CommonFlags;
 
   async run(): Promise<void> {
--- a/packages/clerk/src/commands/index.ts
+++ b/packages/clerk/src/commands/index.ts
@@ -13,7 +13,7 @@
 import { TraceCommand } from './trace.js';
 import { CounterRequestCommand } from './counterrequest.js';
 
-/** clerk's commands, by name. */
+/** The commands of clerk by name. */
 export const COMMANDS = {
   plan: PlanCommand,
   confirm: ConfirmCommand,
--- a/packages/clerk/src/commands/loan.ts
+++ b/packages/clerk/src/commands/loan.ts
@@ -5,10 +5,10 @@
 import { Printer } from '../printer.js';
 import { CommandTransport } from '../where.js';
 
-/** clerk loan */
+/** The command `clerk loan`. */
 export class LoanCommand extends Command {
-  static override description = "The story of one server's loans, as one daemon heard it.";
-  static override args = { server: Args.string({ description: 'the server', required: true }) };
+  static override description = "Show the history of one server's loans, as known to one daemon.";
+  static override args = { server: Args.string({ description: 'id of the server', required: true }) };
   static override flags = CommonFlags;
 
   async run(): Promise<void> {
--- a/packages/clerk/src/commands/loans.ts
+++ b/packages/clerk/src/commands/loans.ts
@@ -5,9 +5,9 @@
 import { Printer } from '../printer.js';
 import { CommandTransport } from '../where.js';
 
-/** clerk loans */
+/** The command `clerk loans`. */
 export class LoansCommand extends Command {
-  static override description = 'Which servers are lent: to whom, for which burst, how much, since when, and by whom.';
+  static override description = 'List the lent servers: borrower, burst, slots, start of the loan and lender.';
   static override flags = CommonFlags;
 
   async run(): Promise<void> {
--- a/packages/clerk/src/commands/plan.ts
+++ b/packages/clerk/src/commands/plan.ts
@@ -5,13 +5,13 @@
 import { Printer } from '../printer.js';
 import { CommandTransport } from '../where.js';
 
-/** clerk plan */
+/** The command `clerk plan`. */
 export class PlanCommand extends Command {
   static override description =
-    'Store a charter, or a configuration, as a plan and show what it would change. Nothing takes hold yet.';
-  static override examples = ['<%= config.bin %> plan charter.json'];
+    'Store a configuration as a plan and show what it would change. Nothing takes effect yet.';
+  static override examples = ['<%= config.bin %> plan configuration.json'];
   static override args = {
-    file: Args.string({ description: 'a JSON file with the whole charter or configuration', required: true }),
+    file: Args.string({ description: 'JSON file with the whole configuration', required: true }),
   };
   static override flags = CommonFlags;
 
@@ -36,7 +36,7 @@
         ...((b['changes'] as { words: string }[]).length === 0
           ? ['  It changes nothing.']
           : (b['changes'] as { words: string }[]).map((c) => `  ${c.words}`)),
-        ...((b['warnings'] ?? []) as string[]).map((w) => `  LOOK TWICE: ${w}.`),
+        ...((b['warnings'] ?? []) as string[]).map((w) => `  WARNING: ${w}.`),
         `Confirm it with: clerk confirm ${String(b['plan'])}`,
       ]),
     );
--- a/packages/clerk/src/commands/read.ts
+++ b/packages/clerk/src/commands/read.ts
@@ -4,14 +4,16 @@
 import { Printer } from '../printer.js';
 import { CommandTransport } from '../where.js';
 
-/** What is in force: a charter, or a configuration without the text that it was read from. */
+/** The configuration in a reply. A routed fleet's has its source text removed. */
 const configurationOf = (b: Record<string, unknown>): unknown =>
   'charter' in b ? b['charter'] : b['configuration'] && { ...b['configuration'], source: undefined };
 
-/** clerk read */
+/** The command `clerk read`. */
 export class ReadCommand extends Command {
-  static override description = 'Read back the charter in force, or the fate of a plan.';
-  static override args = { plan: Args.string({ description: 'a plan; the charter in force if left out' }) };
+  static override description = 'Show the configuration in force, or the state of a plan.';
+  static override args = {
+    plan: Args.string({ description: 'name of a plan; without it, the configuration in force is shown' }),
+  };
   static override flags = CommonFlags;
 
   async run(): Promise<void> {
--- a/packages/clerk/src/commands/status.ts
+++ b/packages/clerk/src/commands/status.ts
@@ -5,17 +5,17 @@
 import { StatusReport } from '../fleet/statuslines.js';
 import { CommandTransport } from '../where.js';
 
-/** What one daemon says of its charter; one that just started or woke says that it can't tell yet. */
+/** The configuration version held by a daemon. A daemon that has just started or resumed has not confirmed it yet. */
 const configurationText = (d: DaemonRow): string =>
-  !d.reached ? 'UNREACHABLE' : d.sure ? `holds ${d.version ?? 'none'}` : 'can not tell yet';
+  !d.reached ? 'UNREACHABLE' : d.sure ? `holds ${d.version ?? 'none'}` : 'not confirmed yet';
 
 type DaemonRow = { id: string; site: string; role: string; reached: boolean; sure: boolean; version: number | null };
 type StageAssignment = { server: string; part: string; stage: string; by: string; mark: [number, number] };
 
-/** clerk status */
+/** The command `clerk status`. */
 export class StatusCommand extends Command {
   static override description =
-    'Whether the fleet is well and if not why, which charter each daemon holds, and how the servers are cast.';
+    'Show whether the fleet is healthy and why not, which configuration each daemon holds, and the stage assignments.';
   static override flags = CommonFlags;
 
   async run(): Promise<void> {
@@ -40,7 +40,7 @@
           ...(b['daemons'] as DaemonRow[]).map(
             (d) => `  ${d.id.padEnd(8)} ${d.role.padEnd(9)} ${d.site.padEnd(8)} ${configurationText(d)}`,
           ),
-          'Casting:',
+          'Stage assignments:',
           ...(b['sheet'] as StageAssignment[]).map(
             (c) =>
               `  ${c.server.padEnd(8)} ${c.part.padEnd(8)} ${c.stage.padEnd(9)} by ${c.by} under ` +
--- a/packages/clerk/src/commands/trace.ts
+++ b/packages/clerk/src/commands/trace.ts
@@ -5,9 +5,10 @@
 import { CommandTransport } from '../where.js';
 import { TraceReport } from '../story.js';
 
-/** clerk trace */
+/** The command `clerk trace`. */
 export class TraceCommand extends Command {
-  static override description = 'Follow one change, or one slip, from its origin through every daemon that holds it.';
+  static override description =
+    'Show how one change or gossiped document spread from its origin to every daemon that holds it.';
   static override examples = [
     '<%= config.bin %> trace',
     '<%= config.bin %> trace --version 3',
@@ -16,13 +17,13 @@
   static override args = {
     name: Args.string({
       description:
-        'charter, mix, row:SERVER or sight:SERVER; of routers and control replicas configuration, list, or the same',
+        'charter, mix, row:SERVER or sight:SERVER; for routers and control replicas also configuration or list',
     }),
   };
   static override flags = {
     ...CommonFlags,
-    version: Flags.integer({ description: 'the version (for a row: the fence); the newest if left out', min: 1 }),
-    step: Flags.integer({ description: 'of routers and control replicas: the step under that fence', min: 0 }),
+    version: Flags.integer({ description: 'version (for a row: its fence); default: the newest', min: 1 }),
+    step: Flags.integer({ description: 'for routers and control replicas: the step under that fence', min: 0 }),
   };
 
   async run(): Promise<void> {
--- a/packages/clerk/src/counterrequeststory.ts
+++ b/packages/clerk/src/counterrequeststory.ts
@@ -8,16 +8,16 @@
 
 const formatValue = (v: unknown): string => (Array.isArray(v) ? v.join(' and ') : String(v));
 const STEP_TEXTS: Record<string, (m: Record<string, unknown>) => string> = {
-  gated: (m) => `let it in by rule ${formatValue(m['rule'])}`,
-  recorded: (m) => `had it recorded at ${formatValue(m['owners'])}`,
+  gated: (m) => `admitted it by route ${formatValue(m['rule'])}`,
+  recorded: (m) => `recorded it at ${formatValue(m['owners'])}`,
   send: (m) =>
-    `sent it to ${formatValue(m['server'])} to ${formatValue(m['part'])}, under charter ${formatValue(m['version'] ?? 'as before')}`,
-  streams: (m) => `had the first piece from ${formatValue(m['server'])}`,
-  extra: (m) => `spent an extra try, after: ${formatValue(m['code'])}`,
-  visit: (m) => `ended it: ran ${formatValue(m['ran'])}, ${formatValue(m['code'])}`,
+    `sent it to ${formatValue(m['server'])} to ${formatValue(m['part'])}, under configuration version ${formatValue(m['version'] ?? 'as before')}`,
+  streams: (m) => `received the first piece from ${formatValue(m['server'])}`,
+  extra: (m) => `spent a retry after ${formatValue(m['code'])}`,
+  visit: (m) => `finished it: ran ${formatValue(m['ran'])}, ${formatValue(m['code'])}`,
 };
 
-/** A request told so that a newcomer can follow it. */
+/** Formats the recorded steps of a request, as reported by all daemons, as a timeline. */
 export const CounterRequestTimeline = {
   formatLines(t: { key: string; daemons: Row[] }): string[] {
     const steps = t.daemons.flatMap((d) => d.steps.map((s) => ({ d, s }))).sort((a, b) => a.s.wall - b.s.wall);
@@ -26,14 +26,14 @@
       `Request ${t.key}:`,
       ...steps.map(
         ({ d, s }) =>
-          `  +${String(s.wall - first).padStart(5)} ms  ${d.id.padEnd(6)} try ${s.attempt}: ` +
+          `  +${String(s.wall - first).padStart(5)} ms  ${d.id.padEnd(6)} attempt ${s.attempt}: ` +
           `${STEP_TEXTS[s.what]?.(s.more) ?? s.what}.`,
       ),
       ...t.daemons
         .filter((d) => d.entry)
         .map(
           (d) =>
-            `  ${d.id} keeps in its ledger: try ${d.entry!.attempt} is ${d.entry!.state}, for ` +
+            `  ${d.id} has in its request records: attempt ${d.entry!.attempt} is ${d.entry!.state}, for ` +
             `${d.entry!.by.split('/')[0]}.`,
         ),
       ...t.daemons.filter((d) => !d.reached).map((d) => `  ${d.id} is unreachable.`),
--- a/packages/clerk/src/desk.ts
+++ b/packages/clerk/src/desk.ts
@@ -2,7 +2,10 @@
 
 type Reply = { status: number; body: Record<string, unknown> | null };
 
-/** Calls a daemon that serves control. Another address is tried only while nothing can have been heard. */
+/**
+ * HTTP client of the operator API. A POST is tried at the next address only if the connection to the previous one was
+ * never made, so that no daemon can have received it twice. A GET is tried at each address in order.
+ */
 export const OperatorClient = {
   async request(
     addresses: readonly string[],
@@ -33,7 +36,7 @@
               verdict: {
                 ran: 'maybe',
                 code: 'torn',
-                why: `${failure}. The daemon may have done it; ask for the plan.`,
+                why: `${failure}. The daemon may have applied it; query the plan.`,
               },
             },
             from: addr,
--- a/packages/clerk/src/exitcode.ts
+++ b/packages/clerk/src/exitcode.ts
@@ -1,4 +1,4 @@
-/** What clerk's exit codes mean: 0 done, 1 not done, 2 wrong input, 3 may have been done, 4 no daemon reached. */
+/** Exit codes of clerk: 0 done, 1 not done, 2 invalid input, 3 may have been done, 4 no daemon could be reached. */
 export const ExitCode = {
   of(v: { ran: string; code: string } | undefined): number {
     if (!v) return 4;
--- a/packages/clerk/src/fleet/caller.ts
+++ b/packages/clerk/src/fleet/caller.ts
@@ -1,9 +1,9 @@
 import { Dice, Logs, Post, RealClock, TcpLines, type Ident, type PostBox, type World } from '@pumicebarrow/forms';
 
-/** Nobody asks clerk: the address is only there because every daemon has one. */
+/** Placeholder: a daemon identity needs an address, but clerk accepts no connections. */
 const UNUSED_ADDRESS = '127.0.0.1:1';
 
-/** Who asks on the daemons' wire without being one of them. It hears nothing and is in no one's view. */
+/** Client of the daemon protocol that is not a daemon: it receives no messages and is a member of no view. */
 export const MessagingClient = {
   make(): { world: World; post: PostBox; close(): void } {
     const random = { real: () => Math.random() };
--- a/packages/clerk/src/fleet/census.ts
+++ b/packages/clerk/src/fleet/census.ts
@@ -6,13 +6,18 @@
 type DaemonAddress = { addr: string; who: Ident | null };
 type StatusResult = Result<DaemonStatus, WireFault>;
 const REQUEST_TIMEOUT_MS = 1200;
+/** Zone that `Views.idents` gives to members of a view. */
 const CORE_ZONE = 'core';
 const toDaemon = (who: Ident, status: DaemonStatus | null): Daemon => ({
   ...{ id: who.id, addr: who.addr, role: who.role === 'registry' ? 'keeper' : 'router', zone: who.site, told: status },
 });
 
-/** Who there is. Invariant: each daemon is asked by its own name, and one that moved counts once. */
+/**
+ * Finds all daemons of a routed fleet. Invariant: each status request names the daemon it is meant for, and a daemon
+ * that changed its address is counted once.
+ */
 export const FleetDiscovery = {
+  /** Requests a daemon's status; `who` is null where only an address is known. */
   requestStatus: (post: PostBox, daemon: DaemonAddress, includeServers: boolean): Promise<StatusResult> =>
     post.ask(
       daemon.addr,
@@ -22,7 +27,7 @@
       StatusDesk.forms.told,
       REQUEST_TIMEOUT_MS,
     ),
-  /** Begins with some that replied and goes on to all whom they know, and whom those know. */
+  /** Starts from the daemons in `first` and follows the members and peers that each reports, transitively. */
   async discover(post: PostBox, first: readonly DaemonStatus[]): Promise<Daemon[]> {
     const daemons = new Map<string, Daemon>();
     const queried = new Set<string>();
@@ -51,8 +56,8 @@
       });
       next = notYetQueried(learned);
     }
-    // Of one that is known by the view alone the zone is not known.
-    const sorted = [...daemons.values()].map((d) => (d.zone === CORE_ZONE ? { ...d, zone: '?' } : d));
-    return sorted.sort((a, b) => (a.role === b.role ? (a.id < b.id ? -1 : 1) : a.role === 'keeper' ? -1 : 1));
+    // A daemon known only from the view carries the placeholder zone of the core, not its own.
+    const known = [...daemons.values()].map((d) => (d.zone === CORE_ZONE ? { ...d, zone: '?' } : d));
+    return known.sort((a, b) => (a.role === b.role ? (a.id < b.id ? -1 : 1) : a.role === 'keeper' ? -1 : 1));
   },
 };
--- a/packages/clerk/src/fleet/commands/index.ts
+++ b/packages/clerk/src/fleet/commands/index.ts
@@ -1,4 +1,4 @@
 import { RequestCommand } from './request.js';
 
-/** The commands that only routers and control replicas know, by name. */
+/** The commands that only routers and control replicas support, by name. */
 export const FleetCommands = { request: RequestCommand };
--- a/packages/clerk/src/fleet/commands/request.ts
+++ b/packages/clerk/src/fleet/commands/request.ts
@@ -4,12 +4,12 @@
 import { CommandTransport } from '../../where.js';
 import { RequestTimeline } from '../requeststory.js';
 
-/** clerk request */
+/** The command `clerk request`. */
 export class RequestCommand extends Command {
   static override description =
-    'Follow one request through a router: where it was placed and why, its reading, hand-over, run and verdict.';
+    'Show one request at its router: placement and its reason, prefill, hand-over, decode run and verdict.';
   static override examples = ['<%= config.bin %> request first-1 --daemon 127.0.0.1:8080'];
-  static override args = { id: Args.string({ description: "the request's id", required: true }) };
+  static override args = { id: Args.string({ description: 'id of the request', required: true }) };
   static override flags = CommonFlags;
 
   async run(): Promise<void> {
--- a/packages/clerk/src/fleet/daemon.ts
+++ b/packages/clerk/src/fleet/daemon.ts
@@ -1,4 +1,7 @@
 import type { DaemonStatus } from '@pumicebarrow/router';
 
-/** One daemon of the fleet as clerk met it; without a status where it could not be reached. */
+/**
+ * A daemon of a routed fleet. `told` is its status as reported by itself, null if it could not be reached; the role
+ * `keeper` means control replica.
+ */
 export type Daemon = { id: string; addr: string; role: 'router' | 'keeper'; zone: string; told: DaemonStatus | null };
--- a/packages/clerk/src/fleet/fleet.ts
+++ b/packages/clerk/src/fleet/fleet.ts
@@ -20,7 +20,7 @@
   verdict: Verdicts.not('unready', 'The core does not reply; nothing was read.', 1),
 });
 
-/** Routers and replicas, asked over their own wire. Invariant: nothing but `plan` and `settle` changes it. */
+/** Operations on routers and control replicas over the daemon protocol. Only `plan` and `settle` change state. */
 const createOperations = (
   client: ReturnType<typeof MessagingClient.make>,
   firstStatuses: readonly DaemonStatus[],
@@ -35,7 +35,7 @@
     for (const d of daemons) controlClient.learn(d.told?.view ?? null);
     return daemons;
   };
-  /** The servers as the head has them, or whoever holds the newest list. */
+  /** The server list of the head, or else of the daemon with the newest list. */
   const newestServerList = async (daemons: readonly Daemon[]): Promise<Pick<FleetState, 'servers' | 'orders'>> => {
     const listRank = (d: Daemon): Mark => (d.told?.head ? [Infinity, 0] : (d.told?.list.mark ?? [-1, 0]));
     const holders = daemons.filter((d) => d.told?.list.mark).sort((a, b) => Order.cmp(listRank(b), listRank(a)));
@@ -90,7 +90,7 @@
       const newest = matching.sort(Order.cmp).at(-1);
       if (!newest)
         return {
-          verdict: Verdicts.not('unknown', `No daemon has met ${name} ${wantedVersion ?? ''}.`.replace(' .', '.')),
+          verdict: Verdicts.not('unknown', `No daemon has seen ${name} ${wantedVersion ?? ''}.`.replace(' .', '.')),
         };
       const configuration = daemons.find((d) => d.told?.configuration?.version === newest[0])?.told?.configuration;
       const title =
@@ -113,10 +113,13 @@
         }),
       );
       if (rows.every((r) => r.steps.length === 0))
-        return { verdict: Verdicts.not('unknown', `No router that replied remembers a request ${id}.`), daemons: rows };
+        return {
+          verdict: Verdicts.not('unknown', `No router that replied has a record of request ${id}.`),
+          daemons: rows,
+        };
       return { verdict: Verdicts.ran('read', 'As the routers say.'), request: id, daemons: rows };
     },
-    /** The control replicas are tried in order; the same name makes the same plan, whoever hears of it first. */
+    /** Tries the control replicas in order. The plan id makes this idempotent: repeats store the same plan. */
     async plan(text: string): Promise<Reply> {
       if (!controlClient.view()) await controlClient.look();
       const view = controlClient.view();
@@ -135,10 +138,11 @@
         requestLost ||= !r.ok && r.val === 'lost';
       }
       const verdict = requestLost
-        ? Verdicts.maybe('silent', `Plan ${id} may be stored; it takes hold only when it is confirmed.`)
+        ? Verdicts.maybe('silent', `Plan ${id} may be stored; it takes effect only when it is confirmed.`)
         : Verdicts.not('unready', 'No control replica could store the plan; nothing was done.', 1);
       return { verdict, plan: id };
     },
+    /** Confirms or drops a stored plan. */
     async settle(what: 'confirm' | 'drop', plan: string): Promise<Reply> {
       const { ruling } = await controlClient.write({ do: what, id: plan });
       return { ...ruling, plan };
@@ -150,19 +154,21 @@
       const { version, plan, body } = coreState.charter ?? { version: 0, plan: null, body: null };
       return { verdict, version, plan, configuration: body };
     },
+    /** The state of a plan: open, or how it was decided. */
     async fate(plan: string): Promise<Reply> {
       const coreState = await controlClient.read(plan, READ_TIMEOUT_MS);
       if (!coreState) return coreUnavailable();
       if (!coreState.plan)
-        return { verdict: Verdicts.not('unknown', `No plan ${plan} is remembered; the latest 200 are.`) };
+        return { verdict: Verdicts.not('unknown', `No plan ${plan} is known; only the latest 200 are kept.`) };
       const { fate, version, base } = coreState.plan;
       return { verdict: Verdicts.ran('read', `Plan ${plan} is ${fate}.`), fate, version: version ?? null, base };
     },
   };
 };
 
+/** Access to a routed fleet of routers and control replicas. */
 export const Fleet = {
-  /** Does one thing with a fleet that is reached at any of the addresses; all its lines are closed afterwards. */
+  /** Runs one operation on the fleet reachable at any of the addresses, then closes all connections. */
   async with(
     addresses: readonly string[],
     operation: (f: ReturnType<typeof createOperations>) => Promise<Reply>,
@@ -173,7 +179,7 @@
         addresses.map((addr) => FleetDiscovery.requestStatus(client.post, { addr, who: null }, false)),
       );
       const firstStatuses = replies.flatMap((r) => (r.ok ? [r.val] : []));
-      // A daemon that is gone is soon forgotten by all others; who gave its address is told.
+      // The other daemons soon forget a daemon that has gone, so a given address that fails is reported here.
       const addressProblems = replies.flatMap((r, i) => (r.err ? [`${addresses[i]!}: ${FAULT_TEXTS[r.val]}`] : []));
       if (firstStatuses.length > 0)
         return await operation(createOperations(client, firstStatuses, addresses, addressProblems));
--- a/packages/clerk/src/fleet/fleetstate.ts
+++ b/packages/clerk/src/fleet/fleetstate.ts
@@ -3,13 +3,13 @@
 import type { View } from '@pumicebarrow/registry';
 import type { Daemon } from './daemon.js';
 
-/** What is known of a whole fleet at one time. */
+/** State of a whole routed fleet at one time, collected from its daemons. */
 export type FleetState = {
-  /** What the core's tail has in force; null where the core did not reply. */
+  /** Configuration in force at the tail of the core; null if the core did not reply. */
   core: { version: number; routing: Routing | null } | null;
   view: View | null;
   daemons: readonly Daemon[];
-  /** The servers and the orders given to them, as the daemon with the youngest list has them; null if no one has. */
+  /** Servers in the newest server list; null if no daemon has a list. `orders` are the stage orders of that list. */
   servers: DaemonStatus['servers'];
   orders: NonNullable<DaemonStatus['orders']>;
 };
--- a/packages/clerk/src/fleet/fleetwellness.test.ts
+++ b/packages/clerk/src/fleet/fleetwellness.test.ts
@@ -43,16 +43,16 @@
   daemons: well.daemons.map((d) => (d.id === id ? daemon(id, more) : d)),
 });
 
-describe('Whether a routed fleet is well', () => {
+describe('RoutedFleetHealth', () => {
   const cases: [string, FleetState, string[]][] = [
     ['nothing is wrong', well, []],
-    ['the core is silent', { ...well, core: null }, ['the core does not reply: no configuration can change']],
+    ['the core does not reply', { ...well, core: null }, ['the core does not reply: no configuration can change']],
     [
-      'no head speaks',
+      'no daemon is the head',
       one('k1', { head: false }),
       ['no control replica speaks as the head: no list goes round, and no stage can change'],
     ],
-    ['two heads speak', one('k2', { head: true }), ['k1 and k2 both say that they are the head']],
+    ['two daemons are the head', one('k2', { head: true }), ['k1 and k2 both say that they are the head']],
     [
       'a control replica has left the chain',
       { ...well, view: { ...view, chain: view.chain.slice(0, 2) } },
@@ -64,43 +64,51 @@
       ['there is no configuration: plan and confirm one'],
     ],
     ['there is no list', { ...well, servers: null }, ['no daemon holds a list of the servers']],
-    ['a service is bare', { ...well, servers: [] }, ['service s has no server that is ready']],
+    ['a service has no server', { ...well, servers: [] }, ['service s has no server that is ready']],
     [
-      'a stage is bare',
+      'a stage has no server',
       { ...well, servers: [server('i-1', 'prefill'), server('i-2', 'decode', { state: 'draining' })] },
       ['service s has no server at decode'],
     ],
     ['a server is suspected', one('r2', { suspected: ['i-1'] }), ['server i-1 is under suspicion at r2']],
     [
-      'a router is away',
+      'a router can not be reached',
       { ...well, daemons: well.daemons.map((d) => (d.id === 'r1' ? { ...d, told: null } : d)) },
       ['router r1 can not be reached'],
     ],
     [
-      'a router is not sure',
+      'a router has not confirmed its configuration',
       one('r1', { sure: false, configuration: null }),
       ['router r1 is learning the newest configuration, and refuses requests'],
     ],
     [
-      'a router is behind',
+      'a router has an old configuration',
       one('r1', { configuration: { revision: 5, version: 1, age: 1 } }),
       ['router r1 holds revision 5, not 7'],
     ],
-    ['a router holds nothing', one('r1', { configuration: null }), ['router r1 holds no configuration, not 7']],
-    ['a router is cut off', one('r1', { silent: 2500 }), ['router r1 heard last from the head 2500 ms ago']],
-    ['a router that leaves is cut off', one('r1', { silent: 2500, state: 'draining' }), []],
+    ['a router has no configuration', one('r1', { configuration: null }), ['router r1 holds no configuration, not 7']],
     [
-      'a list is old',
+      'a router does not hear from the head',
+      one('r1', { silent: 2500 }),
+      ['router r1 heard last from the head 2500 ms ago'],
+    ],
+    [
+      'a draining router does not hear from the head, which is no problem',
+      one('r1', { silent: 2500, state: 'draining' }),
+      [],
+    ],
+    [
+      'a server list is too old',
       one('r1', { list: { mark: [3, 1], age: 2500, young: false, servers: 2 } }),
       ['router r1 has too old a list of the servers: requests are refused there'],
     ],
   ];
   for (const [name, state, want] of cases) {
-    it(`is told where ${name}`, () => {
+    it(`reports correctly when ${name}`, () => {
       expect(RoutedFleetHealth.problems(state)).to.deep.equal(want);
     });
   }
-  it('is printed with what each daemon holds since when, and how servers are staged', () => {
+  it('prints the configuration of each daemon with its age, and the stage of each server', () => {
     const order = { server: 'i-2', stage: 'prefill', done: false, by: 'k1', mark: [3, 4] as [number, number] };
     const state = { ...one('r2', { suspected: ['i-1'] }), orders: [order] };
     const lines = StatusReport.formatLines(
--- a/packages/clerk/src/fleet/fleetwellness.ts
+++ b/packages/clerk/src/fleet/fleetwellness.ts
@@ -1,7 +1,7 @@
 import type { Daemon } from './daemon.js';
 import type { FleetState } from './fleetstate.js';
 
-/** ms without a word from the head, where routers ask it about twice a second. */
+/** Routers poll the head about twice a second, so this is about four missed replies. */
 const HEAD_SILENCE_LIMIT_MS = 2000;
 
 const coreProblems = (s: FleetState): string[] => {
@@ -39,24 +39,25 @@
   if (!status.sure && d.role === 'keeper')
     return [`control replica ${d.id} has no claim on the chain, and says nothing`];
   if (!status.sure) return [`router ${d.id} is learning the newest configuration, and refuses requests`];
-  const out: string[] = [];
+  const problems: string[] = [];
   const configuration = status.configuration;
   if (s.core && (configuration?.version ?? 0) < s.core.version) {
     const newest = s.core.routing?.revision ?? 0;
-    out.push(
+    problems.push(
       `${d.role} ${d.id} holds ${configuration ? `revision ${configuration.revision}` : 'no configuration'}, not ${newest}`,
     );
   }
   if (d.role === 'router' && status.state !== 'draining') {
-    if (status.silent === null) out.push(`router ${d.id} has not heard from the head yet`);
+    if (status.silent === null) problems.push(`router ${d.id} has not heard from the head yet`);
     else if (status.silent > HEAD_SILENCE_LIMIT_MS)
-      out.push(`router ${d.id} heard last from the head ${Math.round(status.silent)} ms ago`);
+      problems.push(`router ${d.id} heard last from the head ${Math.round(status.silent)} ms ago`);
   }
-  if (!status.list.young) out.push(`${d.role} ${d.id} has too old a list of the servers: requests are refused there`);
-  return out;
+  if (!status.list.young)
+    problems.push(`${d.role} ${d.id} has too old a list of the servers: requests are refused there`);
+  return problems;
 };
 
-/** Why a routed fleet is not well, in plain words, the gravest first; nothing when it is. */
+/** Lists the problems of a routed fleet as messages, most severe first; empty if the fleet is healthy. */
 export const RoutedFleetHealth = {
   problems: (s: FleetState): string[] => [
     ...coreProblems(s),
--- a/packages/clerk/src/fleet/requeststory.ts
+++ b/packages/clerk/src/fleet/requeststory.ts
@@ -16,18 +16,18 @@
   taken: (s) =>
     `took it by route ${s.word} for service ${s.at}, ${plural(s.tokens, 'prompt token')}` +
     (s.tenant === undefined ? '' : `, as of tenant ${s.tenant}`),
-  queued: () => 'let it wait, every server being full',
+  queued: () => 'queued it because all servers were full',
   prefill: prefillText,
   handle: (s) => `had ${s.at} hold its prompt (${plural(s.tokens, 'token')}) for the hand-over`,
-  unread: (s) => `had no reading of it from ${s.at}: ${s.word}, ${s.why}`,
-  beside: () => 'found it best read where it runs',
+  unread: (s) => `got no prefill from ${s.at}: ${s.word}, ${s.why}`,
+  beside: () => 'chose to prefill it on its decode server',
   run: runText,
   first: (s) => `had the first of the answer from ${s.at}`,
-  failed: (s) => `had the run at ${s.at} fail: ${s.word}, ${s.why}`,
+  failed: (s) => `saw the decode run at ${s.at} fail: ${s.word}, ${s.why}`,
   done: (s) => `ended it: ${s.word}, ${RAN_TEXTS[s.at] ?? s.at}${s.at === 'yes' ? '' : ` (${s.why})`}`,
 };
 
-/** One request told so that a newcomer can follow it. */
+/** Formats the steps of one request, as logged by the routers, as a timeline. */
 export const RequestTimeline = {
   formatLines(t: { request: string; daemons: readonly Row[] }): string[] {
     const steps = t.daemons.flatMap((d) => d.steps.map((s) => ({ d, s }))).sort((a, b) => a.s.wall - b.s.wall);
--- a/packages/clerk/src/fleet/statuslines.ts
+++ b/packages/clerk/src/fleet/statuslines.ts
@@ -3,18 +3,18 @@
 import type { FleetState } from './fleetstate.js';
 
 type CheckedFleetState = FleetState & { wrong: readonly string[] };
-const SECOND_MS = 1000;
-const formatDuration = (ms: number): string =>
-  ms < 10 * SECOND_MS ? `${Math.round(ms)} ms` : `${Math.round(ms / SECOND_MS)} s`;
+/** One second in ms. */
+const SECOND = 1000;
+const formatMs = (ms: number): string => (ms < 10 * SECOND ? `${Math.round(ms)} ms` : `${Math.round(ms / SECOND)} s`);
 const formatSince = (age: number, now: number): string =>
-  `since ${new Date(now - age).toISOString().slice(0, 19)}Z (${formatDuration(age)})`;
+  `since ${new Date(now - age).toISOString().slice(0, 19)}Z (${formatMs(age)})`;
 const formatConfiguration = (t: DaemonStatus, now: number): string => {
   const c = t.configuration;
   return c ? `revision ${c.revision} ${formatSince(c.age, now)}` : 'no configuration';
 };
 const formatServerList = ({ mark, age, servers }: DaemonStatus['list']): string => {
   if (!mark) return 'no list';
-  const ageText = age === null ? '' : `, ${formatDuration(age)} old`;
+  const ageText = age === null ? '' : `, ${formatMs(age)} old`;
   return `list ${mark.join('.')} of ${servers} servers${ageText}`;
 };
 const formatDaemon = (d: Daemon, now: number): string => {
@@ -40,7 +40,7 @@
   return `${readyCount('prefill')} read, ${readyCount('decode')} decode, ${(s.servers ?? []).length} in all`;
 };
 
-/** The state of a routed fleet, so that a newcomer can read it. */
+/** Formats the state of a routed fleet for `clerk status`. */
 export const StatusReport = {
   formatLines(s: CheckedFleetState, now: number): string[] {
     const head = s.daemons.find((d) => d.told?.head);
--- a/packages/clerk/src/lending/burststory.ts
+++ b/packages/clerk/src/lending/burststory.ts
@@ -1,11 +1,13 @@
+/** Generations by state; `unsure` ones may or may not have run. */
 type Counts = { total: number; waiting: number; begun: number; ran: number; unsure: number; dropped: number };
+/** `order` numbers the bursts; `gone` means that the outcomes are deleted. */
 type Summary = Counts & { key: string; rule: string; order: number; ended: boolean; gone: boolean };
 
 const STATES = ['ran', 'begun', 'waiting', 'unsure', 'dropped'] as const;
 
-/** A burst in plain words. */
+/** Formats the progress of a burst. */
 export const BurstReport = {
-  /** How many generations have their outcome. */
+  /** Number of generations that have an outcome. */
   settledCount: (s: Counts): number => s.ran + s.unsure + s.dropped,
   formatCounts: (s: Counts): string => STATES.flatMap((p) => (s[p] > 0 ? [`${s[p]} ${p}`] : [])).join(', '),
   formatLines(s: Summary): string[] {
--- a/packages/clerk/src/lending/loanstory.ts
+++ b/packages/clerk/src/lending/loanstory.ts
@@ -10,7 +10,7 @@
   lapsed: (l) => `the loan to ${l.holder} ran out, and was not asked for again`,
 };
 
-/** Loans told so that a newcomer can follow them. */
+/** Formats current loans as a table, and the history of one server's loans as a timeline. */
 export const LoanReport = {
   formatTable(list: readonly LoanSince[]): string[] {
     const lent = list.filter((l) => l.slots > 0);
--- a/packages/clerk/src/lending/stories.test.ts
+++ b/packages/clerk/src/lending/stories.test.ts
@@ -6,31 +6,31 @@
 const burst = { key: 'b', rule: 'rollout', order: 3, ended: false, gone: false, total: 4, ...none };
 const loan = { server: 'm1', part: 'decode', slots: 4, holder: 'e1', burst: 'b', why: 'lent', by: 'e2', since: 0 };
 
-describe('The story of a burst', () => {
+describe('BurstReport', () => {
   const cases: [string, Partial<typeof burst>, string][] = [
-    ['one under way', { ran: 1, begun: 2, waiting: 1 }, 'is under way: 1 ran, 2 begun, 1 waiting.'],
-    ['one that is over', { ran: 3, unsure: 1 }, 'is over: 3 ran, 1 unsure.'],
-    ['one ended early', { ended: true, begun: 1, dropped: 3 }, 'is ended, and some run on: 1 begun, 3 dropped.'],
+    ['a running burst', { ran: 1, begun: 2, waiting: 1 }, 'is under way: 1 ran, 2 begun, 1 waiting.'],
+    ['a finished burst', { ran: 3, unsure: 1 }, 'is over: 3 ran, 1 unsure.'],
+    ['a burst ended early', { ended: true, begun: 1, dropped: 3 }, 'is ended, and some run on: 1 begun, 3 dropped.'],
   ];
   for (const [name, change, want] of cases)
-    it(`tells ${name}`, () =>
+    it(`formats ${name}`, () =>
       expect(BurstReport.formatLines({ ...burst, ...change })).to.deep.equal([
         `Burst b (number 3, rule rollout) ${want}`,
       ]));
-  it('tells one that is gone', () =>
+  it('formats a burst whose outcomes are deleted', () =>
     expect(BurstReport.formatLines({ ...burst, gone: true, total: 0 })).to.deep.equal([
       'Burst b is ended, and its outcomes are gone.',
     ]));
 });
 
-describe('The story of a loan', () => {
-  it('tells who has what, and leaves out what is not lent', () => {
+describe('LoanReport', () => {
+  it('lists current loans only', () => {
     expect(LoanReport.formatTable([{ ...loan, slots: 0 }])).to.deep.equal(['Nothing is lent.']);
     expect(LoanReport.formatTable([loan])).to.deep.equal([
       'm1       decode     4 slots to e1 for b, by e2 since 1970-01-01T00:00:00.000Z',
     ]);
   });
-  it('tells each step', () => {
+  it('formats each step of a loan', () => {
     const step = (why: string, wall: number) => ({ mark: [2, wall] as [number, number], wall, loan: { ...loan, why } });
     const got = LoanReport.formatLines({ server: 'm1', steps: ['lent', 'live', 'load', 'given', 'lapsed'].map(step) });
     expect(got).to.deep.equal([
--- a/packages/clerk/src/printer.ts
+++ b/packages/clerk/src/printer.ts
@@ -3,7 +3,7 @@
 type Body = Record<string, unknown> | null;
 type VerdictBody = { ran: string; code: string; why: string; faults?: { path: string; why: string }[] };
 
-/** Prints a reply, in words or as JSON, and says how the program is to end. */
+/** Prints a reply as text or as JSON and returns the exit code. Failures are printed to stderr. */
 export const Printer = {
   print(body: Body, json: boolean, formatLines: (b: Record<string, unknown>) => string[]): number {
     const verdict = body?.['verdict'] as VerdictBody | undefined;
--- a/packages/clerk/src/story.test.ts
+++ b/packages/clerk/src/story.test.ts
@@ -10,7 +10,7 @@
   ...{ id, reached, holds, steps },
 });
 
-describe('A trace', () => {
+describe('TraceReport', () => {
   const daemons = [
     daemon('k1', [3, 2], [step([3, 1], 1000, 'origin', 'k1', 0), step([3, 2], 2000, 'origin', 'k1', 0)]),
     daemon('r1', [3, 2], [step([3, 1], 1100, 'sender', 'k1', 1), step([3, 2], 2100, 'sender', 'k1', 1)]),
@@ -18,7 +18,7 @@
     daemon('r3', [4, 0]),
     daemon('r4', null, [], false),
   ];
-  it('of one step under a fence counts only that step, and what is newer', () => {
+  it('with a step counts daemons that hold that step or a newer one', () => {
     expect(TraceReport.formatLines({ name: 'list', title: 'list 3.2', version: 3, step: 2, daemons })).to.deep.equal([
       'list 3.2: 3 of 5 daemons hold it or a newer one.',
       '  +    0 ms  k1     made it, in its round 9.',
@@ -28,7 +28,7 @@
       '  Unreachable, and not counted: r4.',
     ]);
   });
-  it('of a version takes the last step of each daemon', () => {
+  it('without a step shows the last step of that version at each daemon', () => {
     expect(TraceReport.formatLines({ name: 'row:m1', version: 3, daemons })).to.deep.equal([
       'row:m1 3: 4 of 5 daemons hold it or a newer one.',
       '  +    0 ms  r2     pulled it from the sender from r1, hop 2, in its round 9.',
--- a/packages/clerk/src/story.ts
+++ b/packages/clerk/src/story.ts
@@ -1,4 +1,5 @@
 type Step = {
+  /** Version stamp: version or fence, and step. */
   mark: [number, number];
   via: string;
   from: string;
@@ -6,21 +7,22 @@
   hops: number;
   age: number;
   round: number;
+  /** Wall-clock time in ms since the epoch. */
   wall: number;
 };
 type Row = { id: string; reached: boolean; holds: [number, number] | null; steps: Step[] };
-/** Without a step, all marks of the version are meant. */
+/** Without `step`, all version stamps of the version match. */
 type Trace = { name: string; version: number; step?: number; title?: string; daemons: Row[] };
 
 const VIA_TEXTS: Record<string, string> = {
   origin: 'made it',
   sender: 'pulled it from the sender',
-  fallback: 'pulled it elsewhere, the sender being gone',
-  repair: 'was mended by comparing digests',
-  catchup: 'caught up outside a gossip',
+  fallback: 'pulled it from another daemon because the sender did not reply',
+  repair: 'was repaired by comparing digests',
+  catchup: 'caught up outside of gossip',
 };
 
-/** A trace told so that a newcomer can follow it. */
+/** Formats how a version of a document reached each daemon, in order of arrival. */
 export const TraceReport = {
   formatLines(t: Trace): string[] {
     const matchesTrace = (m: [number, number]): boolean =>
--- a/packages/clerk/src/where.ts
+++ b/packages/clerk/src/where.ts
@@ -9,8 +9,8 @@
 const addressesFromEnv = (name: string): string[] => (process.env[name] ?? '').split(/[ ,]+/).filter((a) => a !== '');
 
 /**
- * Whom clerk asks: a daemon that serves control over HTTP, or a routed fleet over the daemons' own wire.
- * Invariant: a flag goes before the environment, and a fleet's own wire before HTTP.
+ * Sends a command either to a daemon that serves the operator API over HTTP, or to a routed fleet over the daemon
+ * protocol. Invariant: a flag takes precedence over the environment, and the daemon protocol over HTTP.
  */
 export const CommandTransport = {
   async request(
@@ -27,7 +27,7 @@
     }
     if (!fleetOperation)
       return {
-        verdict: Verdicts.bad([{ path: '--at', why: 'is needed: routers and control replicas do not know this' }]),
+        verdict: Verdicts.bad([{ path: '--at', why: 'is needed: routers and control replicas do not support this' }]),
       };
     const faults = daemonAddresses
       .filter((a) => !IP_AND_PORT.test(a) || SettingsReader.ports(a).length > 0)
--- a/packages/client/src/client.test.ts
+++ b/packages/client/src/client.test.ts
@@ -27,20 +27,24 @@
     res.end(JSON.stringify({ verdict: { ran, code: 'x', why: 'y', after: 2 } }));
   };
 const cases: [string, Responder[], { whole: boolean; attempts: number[]; naps: number[] }][] = [
-  ['a whole answer', [answerWhole], { whole: true, attempts: [1], naps: [] }],
+  ['returns a complete answer', [answerWhole], { whole: true, attempts: [1], naps: [] }],
   [
-    'not run, then whole: the next number, after the time told',
+    'retries a request that has not run with the next attempt number, after the delay asked for',
     [refuse('no', 503), answerWhole],
     { whole: true, attempts: [1, 2], naps: [2000] },
   ],
-  ['may have run: no more tries', [refuse('maybe', 502), answerWhole], { whole: false, attempts: [1], naps: [] }],
   [
-    'torn before a piece: asks again with the next number',
+    'does not retry a request that may have run',
+    [refuse('maybe', 502), answerWhole],
+    { whole: false, attempts: [1], naps: [] },
+  ],
+  [
+    'retries with the next attempt number if the connection breaks before the first piece',
     [(res) => res.destroy(), answerWhole],
     { whole: true, attempts: [1, 2], naps: [1000] },
   ],
   [
-    'torn after a piece: no more tries',
+    'does not retry if the connection breaks after a piece',
     [
       (res) => {
         writeLine(res, { n: 1, text: 'a' });
@@ -51,7 +55,7 @@
     { whole: false, attempts: [1], naps: [] },
   ],
   [
-    'cut',
+    'reports an answer that the daemon cut short as incomplete',
     [
       (res) => {
         writeLine(res, { n: 1, text: 'a' });
@@ -62,7 +66,7 @@
     { whole: false, attempts: [1], naps: [] },
   ],
   [
-    'a clean end without the end',
+    'reports a stream without an end line as incomplete',
     [
       (res) => {
         writeLine(res, { n: 1, text: 'a' });
@@ -72,7 +76,7 @@
     { whole: false, attempts: [1], naps: [] },
   ],
   [
-    'a gap',
+    'reports a missing piece as incomplete',
     [
       (res) => {
         writeLine(res, { n: 1, text: 'a' });
@@ -83,7 +87,7 @@
     { whole: false, attempts: [1], naps: [] },
   ],
   [
-    'an end that does not agree',
+    'reports an end line with a wrong digest as incomplete',
     [
       (res) => {
         writeLine(res, { n: 1, text: 'a' });
@@ -148,7 +152,7 @@
   const body = { key: 'k', prefix: 'p', part: 'q' };
   const sleep = (): Promise<void> => Promise.resolve();
 
-  it('a connection in use that fails as an unreachable host does spends the number', async () => {
+  it('uses up the attempt number if an established connection fails with EHOSTUNREACH', async () => {
     const attempts: number[] = [];
     let socket: Socket | null = null;
     const addr = await listen((v, res, n) => {
@@ -162,7 +166,7 @@
     const got = await Client.make([addr], { sleep: sleep, onConnect: onConnect }).request(body);
     expect({ whole: got.whole, attempts }).to.deep.equal({ whole: true, attempts: [1, 2] });
   });
-  it('a daemon that is not there spends nothing, and the next is asked', async () => {
+  it('keeps the attempt number if a daemon can not be reached, and calls the next daemon', async () => {
     const attempts: number[] = [];
     const addr = await listen((v, res) => {
       attempts.push(v.attempt);
@@ -171,21 +175,21 @@
     const got = await Client.make(['127.0.0.1:1', addr], { sleep: sleep }).request(body);
     expect({ whole: got.whole, attempts }).to.deep.equal({ whole: true, attempts: [1] });
   });
-  it('names the owners that a daemon gave, the same for each call of a key', async () => {
+  it('sends the same pinned owners with each call for a key', async () => {
     const named: (string[] | undefined)[] = [];
     const addr = await listen((v, res, n) => {
       named.push(v.owners);
       if (n === 1) refuse('no', 503)(res);
       else answerWhole(res);
     });
-    // By the older name of request.
+    // Through the alias of request.
     await Client.make([addr], { sleep: sleep, pin: true }).visit(body);
     expect(named).to.deep.equal([
       ['e1/a', 'e2/b'],
       ['e1/a', 'e2/b'],
     ]);
   });
-  it('gives up at its deadline, and does not ask again for a time beyond it', async () => {
+  it('stops at its deadline, and does not retry if the delay would exceed it', async () => {
     const addr = await listen((_v, res, n) => {
       if (n === 1) refuse('no', 503)(res);
     });
--- a/packages/client/src/client.ts
+++ b/packages/client/src/client.ts
@@ -4,17 +4,21 @@
 import type { AttemptResult } from './trying.js';
 import type { RequestResult } from './requestresult.js';
 
+/** Options of a client. */
 type Options = {
-  /** Calls at the most. */
+  /** Maximum number of calls for one request. */
   tries?: number;
-  /** ms from the start in which the answer must have come. */
+  /** Time limit for the whole request, in ms from its start. */
   deadline?: number;
-  /** Names the owners of each request, so that it runs once even if a call is doubled on its way. */
+  /** Pins the two owners of each request, so that it runs once even if the network duplicates a call. */
   pin?: boolean;
+  /** Replaces the wait between attempts, for tests. */
   sleep?: (ms: number) => Promise<void>;
+  /** Called with each new connection. */
   onConnect?: (s: Socket) => void;
 };
 const OWNERS_TIMEOUT_MS = 1000;
+/** Delays used where the reply names none. */
 const RETRY_DELAY_S = 1;
 const UNREACHED_RETRY_DELAY_S = 0.2;
 const sleep = (ms: number): Promise<void> =>
@@ -22,14 +26,17 @@
     setTimeout(done, ms);
   });
 const unreached: Verdict = { ran: 'no', code: 'unreached', why: 'no daemon could be reached' };
-/** Whether asking again is safe: nothing was used, it has not run, or the next daemon will know if it may have. */
+/**
+ * Whether a retry is safe: the attempt number is unused, the request has not run, or the connection broke before the
+ * first piece, in which case the next daemon can tell whether the request may have run.
+ */
 const canRetry = (result: Extract<AttemptResult, { whole: false }>): boolean =>
   !result.connected || result.verdict.ran === 'no' || (result.verdict.code === 'torn' && result.pieces === 0);
 
 /**
- * A caller. Invariants: an attempt number is used once, but for a connection that was never made; a request is tried
- * again only when told that it has not run, after the time it was told, and at the next daemon; a text is given only
- * if it is whole; nothing goes on after the deadline.
+ * Client of counter daemons, with retries. Invariants: an attempt number is reused only if the connection was never
+ * made; a request is retried only when that is safe, at the next daemon, after the delay the reply asked for; a text is
+ * returned only if it is complete; nothing continues after the deadline.
  */
 export const Client = {
   make(daemons: readonly string[], options: Options = {}) {
@@ -78,7 +85,7 @@
         }
       },
     };
-    /** `visit` is the older name, under which callers know it. */
+    /** `visit` is an alias of `request`, kept for existing callers. */
     return { ...client, visit: client.request };
   },
 };
--- a/packages/client/src/line.ts
+++ b/packages/client/src/line.ts
@@ -8,7 +8,7 @@
 const CONNECT_TIMEOUT_MS = 1000;
 const tornVerdict = (why: string): Verdict => ({ ran: 'maybe', code: 'torn', why });
 
-/** Checks lines as they come: gives what came of the call once that is known, else null. */
+/** Parses and checks an answer stream line by line; `push` returns the result once it is known, else null. */
 const createStreamReader = (onPiece: (text: string) => void) => {
   const hash = createHash('sha256');
   let pieceCount = 0;
@@ -24,9 +24,11 @@
     if ('cut' in line) return incomplete(line.verdict);
     if ('end' in line) {
       const intact = line.count === pieceCount && line.digest === hash.digest('hex').slice(0, 24);
-      return intact ? { whole: true, text } : incomplete(tornVerdict('the end does not agree with the pieces'));
+      return intact
+        ? { whole: true, text }
+        : incomplete(tornVerdict('the end line does not match the pieces received'));
     }
-    if (line.n !== pieceCount + 1) return incomplete(tornVerdict('a piece is missing or came twice'));
+    if (line.n !== pieceCount + 1) return incomplete(tornVerdict('a piece is missing or duplicated'));
     pieceCount = line.n;
     hash.update(`${pieceCount}:${line.text}\n`);
     text += line.text;
@@ -34,7 +36,7 @@
     return null;
   };
   return {
-    short: incomplete,
+    incomplete,
     push(chunk: string): AttemptResult | null {
       buffer += chunk;
       for (let i = buffer.indexOf('\n'); i >= 0; i = buffer.indexOf('\n')) {
@@ -42,14 +44,14 @@
         if (result) return result;
         buffer = buffer.slice(i + 1);
       }
-      return buffer.length > MAX_LINE_CHARACTERS ? incomplete(tornVerdict('a line too long')) : null;
+      return buffer.length > MAX_LINE_CHARACTERS ? incomplete(tornVerdict('a line is too long')) : null;
     },
   };
 };
 
 /**
- * A caller's connections. Invariants: only an error that came of making a connection says that the attempt was not
- * used; no call outlasts the time it is given.
+ * HTTP calls to daemons. Invariants: an attempt number counts as unused only if establishing the connection failed; no
+ * call takes longer than its timeout.
  */
 export const DaemonClient = {
   make(onConnect: (s: Socket) => void = () => undefined) {
@@ -69,7 +71,7 @@
     });
     return {
       close: (): Promise<void> => agent.destroy(),
-      /** The two lives that are to record a request, as a daemon names them; null when it does not. */
+      /** The two daemon incarnations that are to record a request, as named by a daemon; null if it names none. */
       async owners(addr: string, timeoutMs: number): Promise<string[] | null> {
         try {
           const response = await httpRequest(`http://${addr}/owners`, {
@@ -98,16 +100,16 @@
             body: JSON.stringify(request),
           });
           if (response.statusCode !== 200)
-            return reader.short(((await response.body.json()) as { verdict: Verdict }).verdict);
+            return reader.incomplete(((await response.body.json()) as { verdict: Verdict }).verdict);
           for await (const chunk of response.body.setEncoding('utf8') as AsyncIterable<string>) {
             const result = reader.push(chunk);
             if (result) return result;
           }
-          return reader.short(tornVerdict('the stream ended without its end'));
+          return reader.incomplete(tornVerdict('the stream ended before its end line'));
         } catch (e) {
           const connected = !(typeof e === 'object' && e !== null && connectErrors.has(e));
-          const result = reader.short(tornVerdict((e as { code?: string }).code ?? String(e)));
-          return result.whole ? result : { ...result, connected: connected };
+          const result = reader.incomplete(tornVerdict((e as { code?: string }).code ?? String(e)));
+          return result.whole ? result : { ...result, connected };
         }
       },
     };
--- a/packages/client/src/trying.ts
+++ b/packages/client/src/trying.ts
@@ -1,5 +1,5 @@
 import type { Verdict } from './generated.js';
 
-/** What came of one call. `made`: a connection was made, so the attempt number is spent. */
+/** Result of one call. `connected`: the connection was established, so the attempt number is used up. */
 export type AttemptResult =
   { whole: true; text: string } | { whole: false; verdict: Verdict; pieces: number; connected: boolean };
--- a/packages/counterd/src/main.ts
+++ b/packages/counterd/src/main.ts
@@ -4,19 +4,20 @@
 import { Tuned } from '@pumicebarrow/purge';
 import { Settings } from './settings.js';
 
+/** Command-line options. */
 const OPTIONS = [
-  { name: 'id', help: "the daemon's name", kind: 'text' },
-  { name: 'addr', help: 'IP:PORT at which other daemons find it', kind: 'text' },
-  { name: 'hear', help: 'IP:PORT to listen at, where that is not addr', kind: 'text' },
-  { name: 'http', help: 'IP:PORT towards callers and operators', kind: 'text' },
-  { name: 'site', help: 'the zone it stands in', kind: 'text' },
-  { name: 'seeds', help: 'IP:PORT of another daemon; three are needed', kind: 'list' },
-  { name: 'town', help: "IP:PORT of the platform's list", kind: 'text' },
-  { name: 'control', help: 'serve operators too', kind: 'yes' },
-  { name: 'level', help: 'debug, info or warn', kind: 'text' },
+  { name: 'id', help: 'id of the daemon', kind: 'text' },
+  { name: 'addr', help: 'IP:PORT at which other daemons reach it', kind: 'text' },
+  { name: 'hear', help: 'IP:PORT to listen on, if different from addr', kind: 'text' },
+  { name: 'http', help: 'IP:PORT of the HTTP server for clients and operators', kind: 'text' },
+  { name: 'site', help: 'zone of the daemon', kind: 'text' },
+  { name: 'seeds', help: 'IP:PORT of another daemon; at least three are required', kind: 'list' },
+  { name: 'town', help: "IP:PORT of the platform's inventory of model servers", kind: 'text' },
+  { name: 'control', help: 'serve the operator API too', kind: 'yes' },
+  { name: 'level', help: 'log level: debug, info or warn', kind: 'text' },
 ] as const;
 
-/** counterd: the counter library on a real machine. */
+/** Entry point of counterd: runs a counter daemon with the real clock, network and model servers. */
 export const Main = {
   async run(argv: readonly string[]): Promise<void> {
     const settings = await Program.settings('counterd', 'a counter daemon of pumicebarrow', OPTIONS, Settings, argv);
--- a/packages/counterd/src/settings.test.ts
+++ b/packages/counterd/src/settings.test.ts
@@ -2,25 +2,25 @@
 import { expect } from 'chai';
 import { Settings } from './settings.js';
 
-const sound = {
+const valid = {
   ...{ id: 'e1', addr: '127.0.0.1:7', http: '127.0.0.1:8', site: 's1', town: '127.0.0.1:9' },
   seeds: ['127.0.0.1:1', '127.0.0.1:2', '[::1]:3'],
 };
 const cases: [string, Record<string, unknown>, string[]][] = [
-  ['sound settings', {}, []],
-  ['another place to listen at', { hear: '127.0.0.1:17' }, []],
-  ['a host name for it', { hear: 'host:17' }, ['/hear']],
+  ['valid settings', {}, []],
+  ['a separate listen address', { hear: '127.0.0.1:17' }, []],
+  ['a host name as listen address', { hear: 'host:17' }, ['/hear']],
   ['a seed named twice', { seeds: ['127.0.0.1:1', '127.0.0.1:2', '127.0.0.1:1'] }, ['/seeds']],
   ['two seeds', { seeds: ['127.0.0.1:1', '127.0.0.1:2'] }, ['/seeds']],
-  ['a grace below nothing', { grace: -1 }, ['/grace']],
-  ['a level nobody knows', { level: 'loud' }, ['/level']],
-  ['several faults, all at once', { site: 7, town: 'x', more: 1 }, ['/more', '/site', '/town']],
+  ['a negative grace', { grace: -1 }, ['/grace']],
+  ['an unknown log level', { level: 'loud' }, ['/level']],
+  ['several faults in one report', { site: 7, town: 'x', more: 1 }, ['/more', '/site', '/town']],
 ];
 
-describe('counterd', () => {
+describe('Settings of counterd', () => {
   for (const [name, change, want] of cases) {
-    it(`reads ${name}`, async () => {
-      const got = await SettingsReader.read(Settings, undefined, { ...sound, ...change });
+    it(`checks ${name}`, async () => {
+      const got = await SettingsReader.read(Settings, undefined, { ...valid, ...change });
       expect(got.ok ? [] : [...new Set(got.val.map((f) => f.path))].sort()).to.deep.equal(want);
     });
   }
--- a/packages/registryd/src/corefront.ts
+++ b/packages/registryd/src/corefront.ts
@@ -1,7 +1,7 @@
 import { WebHost, type Metering } from '@pumicebarrow/forms';
 import polka from 'polka';
 
-/** A core daemon's HTTP side, for those on call alone: it serves no callers and takes no charters. */
+/** HTTP server of a core daemon for health checks and metrics only: no client requests, no configuration changes. */
 export const CoreHttpServer = {
   make(addr: string, metrics: Metering, status: () => { life: string; speaks: boolean }) {
     const app = polka();
--- a/packages/registryd/src/main.ts
+++ b/packages/registryd/src/main.ts
@@ -4,18 +4,23 @@
 import { CoreHttpServer } from './corefront.js';
 import { Settings } from './settings.js';
 
+/** Command-line options. */
 const OPTIONS = [
-  { name: 'id', help: "the daemon's name", kind: 'text' },
-  { name: 'addr', help: 'IP:PORT at which other daemons find it', kind: 'text' },
-  { name: 'hear', help: 'IP:PORT to listen at, where that is not addr', kind: 'text' },
-  { name: 'http', help: 'IP:PORT for /health and /metrics; neither is served without it', kind: 'text' },
-  { name: 'site', help: 'the zone it stands in', kind: 'text' },
-  { name: 'seeds', help: 'IP:PORT of another daemon, the other cores among them; three are needed', kind: 'list' },
-  { name: 'data', help: 'the data folder', kind: 'text' },
-  { name: 'level', help: 'debug, info or warn', kind: 'text' },
+  { name: 'id', help: 'id of the daemon', kind: 'text' },
+  { name: 'addr', help: 'IP:PORT at which other daemons reach it', kind: 'text' },
+  { name: 'hear', help: 'IP:PORT to listen on, if different from addr', kind: 'text' },
+  { name: 'http', help: 'IP:PORT that serves /health and /metrics; without it neither is served', kind: 'text' },
+  { name: 'site', help: 'zone of the daemon', kind: 'text' },
+  {
+    name: 'seeds',
+    help: 'IP:PORT of another daemon, including the other core daemons; at least three are required',
+    kind: 'list',
+  },
+  { name: 'data', help: 'data folder', kind: 'text' },
+  { name: 'level', help: 'log level: debug, info or warn', kind: 'text' },
 ] as const;
 
-/** registryd: the registry library on a real machine. */
+/** Entry point of registryd: runs a core daemon with the real clock, network and disk. */
 export const Main = {
   async run(argv: readonly string[]): Promise<void> {
     const settings = await Program.settings('registryd', 'a core daemon of pumicebarrow', OPTIONS, Settings, argv);
