--- a/packages/clerk/src/commands/burstwatch.ts
+++ b/packages/clerk/src/commands/burstwatch.ts
@@ -16,7 +16,7 @@
 /** The command `clerk burst watch`. */
 export class BurstWatchCommand extends Command {
   static override description =
-    'Show the progress of a burst until each generation has an outcome. Interrupting the command does not end the burst.';
+    'Show the progress of a burst until each generation has an outcome. Interrupting it does not end the burst.';
   static override args = { key: Args.string({ description: 'key of the burst', required: true }) };
   static override flags = { ...CommonFlags, once: Flags.boolean({ description: 'print the state once and exit' }) };
 
--- a/packages/clerk/src/fleet/fleet.ts
+++ b/packages/clerk/src/fleet/fleet.ts
@@ -143,8 +143,8 @@
       return { verdict, plan: id };
     },
     /** Confirms or drops a stored plan. */
-    async settle(what: 'confirm' | 'drop', plan: string): Promise<Reply> {
-      const { ruling } = await controlClient.write({ do: what, id: plan });
+    async settle(decision: 'confirm' | 'drop', plan: string): Promise<Reply> {
+      const { ruling } = await controlClient.write({ do: decision, id: plan });
       return { ...ruling, plan };
     },
     async read(): Promise<Reply> {
@@ -169,7 +169,7 @@
 /** Access to a routed fleet of routers and control replicas. */
 export const Fleet = {
   /** Runs one operation on the fleet reachable at any of the addresses, then closes all connections. */
-  async with(
+  async run(
     addresses: readonly string[],
     operation: (f: ReturnType<typeof createOperations>) => Promise<Reply>,
   ): Promise<Reply> {
--- a/packages/clerk/src/fleet/fleetwellness.test.ts
+++ b/packages/clerk/src/fleet/fleetwellness.test.ts
@@ -12,14 +12,14 @@
 const daemon = (id: string, more: Partial<DaemonStatus> = {}): Daemon => {
   const role = id.startsWith('k') ? 'keeper' : 'router';
   const who = { ...member(id), site: 'z', role: role === 'keeper' ? 'registry' : 'counter' } as const;
-  const told: DaemonStatus = {
+  const status: DaemonStatus = {
     ...{ who, state: 'serving', sure: true, view, head: id === 'k1' },
     configuration: { revision: 7, version: 2, age: 42_000 },
     list: { mark: [3, 1], age: 120, young: true, servers: 2 },
     ...{ silent: role === 'keeper' ? null : 100, suspected: [], known: [], servers: null, orders: null },
     ...more,
   };
-  return { id, addr: who.addr, role, zone: 'z', told };
+  return { id, addr: who.addr, role, zone: 'z', told: status };
 };
 const server = (id: string, stage: Server['stage'], more: Partial<Server> = {}): Server => ({
   ...{ id, service: 's', addr: '127.0.0.1:2', zone: 'z', state: 'ready', stage, slots: 4, warm: 0 },
@@ -33,84 +33,88 @@
   limits: { header: 1, body: 1, headerWait: 1, idle: 1 },
   source: '',
 };
-const well: FleetState = {
+const healthy: FleetState = {
   ...{ core: { version: 2, routing }, view, orders: [] },
   daemons: ['k1', 'k2', 'k3', 'r1', 'r2'].map((id) => daemon(id)),
   servers: [server('i-1', 'prefill'), server('i-2', 'decode')],
 };
-const one = (id: string, more: Partial<DaemonStatus>): FleetState => ({
-  ...well,
-  daemons: well.daemons.map((d) => (d.id === id ? daemon(id, more) : d)),
+const withDaemon = (id: string, more: Partial<DaemonStatus>): FleetState => ({
+  ...healthy,
+  daemons: healthy.daemons.map((d) => (d.id === id ? daemon(id, more) : d)),
 });
 
 describe('RoutedFleetHealth', () => {
   const cases: [string, FleetState, string[]][] = [
-    ['nothing is wrong', well, []],
-    ['the core does not reply', { ...well, core: null }, ['the core does not reply: no configuration can change']],
+    ['nothing is wrong', healthy, []],
+    ['the core does not reply', { ...healthy, core: null }, ['the core does not reply: no configuration can change']],
     [
       'no daemon is the head',
-      one('k1', { head: false }),
+      withDaemon('k1', { head: false }),
       ['no control replica speaks as the head: no list goes round, and no stage can change'],
     ],
-    ['two daemons are the head', one('k2', { head: true }), ['k1 and k2 both say that they are the head']],
+    ['two daemons are the head', withDaemon('k2', { head: true }), ['k1 and k2 both say that they are the head']],
     [
       'a control replica has left the chain',
-      { ...well, view: { ...view, chain: view.chain.slice(0, 2) } },
+      { ...healthy, view: { ...view, chain: view.chain.slice(0, 2) } },
       ['control replica k3 is out of the chain'],
     ],
     [
       'there is no configuration',
-      { ...well, core: { version: 0, routing: null } },
+      { ...healthy, core: { version: 0, routing: null } },
       ['there is no configuration: plan and confirm one'],
     ],
-    ['there is no list', { ...well, servers: null }, ['no daemon holds a list of the servers']],
-    ['a service has no server', { ...well, servers: [] }, ['service s has no server that is ready']],
+    ['there is no list', { ...healthy, servers: null }, ['no daemon holds a list of the servers']],
+    ['a service has no server', { ...healthy, servers: [] }, ['service s has no server that is ready']],
     [
       'a stage has no server',
-      { ...well, servers: [server('i-1', 'prefill'), server('i-2', 'decode', { state: 'draining' })] },
+      { ...healthy, servers: [server('i-1', 'prefill'), server('i-2', 'decode', { state: 'draining' })] },
       ['service s has no server at decode'],
     ],
-    ['a server is suspected', one('r2', { suspected: ['i-1'] }), ['server i-1 is under suspicion at r2']],
+    ['a server is suspected', withDaemon('r2', { suspected: ['i-1'] }), ['server i-1 is under suspicion at r2']],
     [
       'a router can not be reached',
-      { ...well, daemons: well.daemons.map((d) => (d.id === 'r1' ? { ...d, told: null } : d)) },
+      { ...healthy, daemons: healthy.daemons.map((d) => (d.id === 'r1' ? { ...d, told: null } : d)) },
       ['router r1 can not be reached'],
     ],
     [
       'a router has not confirmed its configuration',
-      one('r1', { sure: false, configuration: null }),
+      withDaemon('r1', { sure: false, configuration: null }),
       ['router r1 is learning the newest configuration, and refuses requests'],
     ],
     [
       'a router has an old configuration',
-      one('r1', { configuration: { revision: 5, version: 1, age: 1 } }),
+      withDaemon('r1', { configuration: { revision: 5, version: 1, age: 1 } }),
       ['router r1 holds revision 5, not 7'],
     ],
-    ['a router has no configuration', one('r1', { configuration: null }), ['router r1 holds no configuration, not 7']],
+    [
+      'a router has no configuration',
+      withDaemon('r1', { configuration: null }),
+      ['router r1 holds no configuration, not 7'],
+    ],
     [
       'a router does not hear from the head',
-      one('r1', { silent: 2500 }),
+      withDaemon('r1', { silent: 2500 }),
       ['router r1 heard last from the head 2500 ms ago'],
     ],
     [
       'a draining router does not hear from the head, which is no problem',
-      one('r1', { silent: 2500, state: 'draining' }),
+      withDaemon('r1', { silent: 2500, state: 'draining' }),
       [],
     ],
     [
       'a server list is too old',
-      one('r1', { list: { mark: [3, 1], age: 2500, young: false, servers: 2 } }),
+      withDaemon('r1', { list: { mark: [3, 1], age: 2500, young: false, servers: 2 } }),
       ['router r1 has too old a list of the servers: requests are refused there'],
     ],
   ];
-  for (const [name, state, want] of cases) {
+  for (const [name, state, expected] of cases) {
     it(`reports correctly when ${name}`, () => {
-      expect(RoutedFleetHealth.problems(state)).to.deep.equal(want);
+      expect(RoutedFleetHealth.problems(state)).to.deep.equal(expected);
     });
   }
   it('prints the configuration of each daemon with its age, and the stage of each server', () => {
     const order = { server: 'i-2', stage: 'prefill', done: false, by: 'k1', mark: [3, 4] as [number, number] };
-    const state = { ...one('r2', { suspected: ['i-1'] }), orders: [order] };
+    const state = { ...withDaemon('r2', { suspected: ['i-1'] }), orders: [order] };
     const lines = StatusReport.formatLines(
       { ...state, wrong: RoutedFleetHealth.problems(state) },
       Date.UTC(2030, 0, 1),
--- a/packages/clerk/src/fleet/requeststory.ts
+++ b/packages/clerk/src/fleet/requeststory.ts
@@ -1,16 +1,17 @@
 import type { RequestStep } from '@pumicebarrow/router';
 
-type Row = { id: string; zone: string; reached: boolean; steps: readonly RequestStep[] };
+type DaemonSteps = { id: string; zone: string; reached: boolean; steps: readonly RequestStep[] };
 const plural = (n: number, noun: string): string => `${n} ${noun}${n === 1 ? '' : 's'}`;
 const RAN_TEXTS: Record<string, string> = { no: 'it has not run', maybe: 'it may have run', yes: 'it ran' };
-const prefillText = (s: RequestStep): string => {
-  const placementReason = s.why === 'home' ? 'the home of its prefix' : 'sooner than the home of its prefix';
-  const work = `${plural(s.tokens, 'token')} to read, ${Math.round(s.ahead)} ahead of it`;
-  return `sent it to ${s.at} to be read: ${placementReason}, ${work}`;
+const prefillText = (step: RequestStep): string => {
+  const placementReason = step.why === 'home' ? 'the home of its prefix' : 'sooner than the home of its prefix';
+  const work = `${plural(step.tokens, 'token')} to read, ${Math.round(step.ahead)} ahead of it`;
+  return `sent it to ${step.at} to be read: ${placementReason}, ${work}`;
 };
-const runText = (s: RequestStep): string => {
-  const from = s.word === '' ? `${plural(s.tokens, 'token')} to read there` : `the prompt handed over by ${s.word}`;
-  return `sent it to ${s.at} to be run: ${from}, ${plural(Math.round(s.ahead), 'run')} beside it`;
+const runText = (step: RequestStep): string => {
+  const from =
+    step.word === '' ? `${plural(step.tokens, 'token')} to read there` : `the prompt handed over by ${step.word}`;
+  return `sent it to ${step.at} to be run: ${from}, ${plural(Math.round(step.ahead), 'run')} beside it`;
 };
 const STEP_TEXTS: Record<RequestStep['what'], (s: RequestStep) => string> = {
   taken: (s) =>
@@ -29,16 +30,16 @@
 
 /** Formats the steps of one request, as logged by the routers, as a timeline. */
 export const RequestTimeline = {
-  formatLines(t: { request: string; daemons: readonly Row[] }): string[] {
-    const steps = t.daemons.flatMap((d) => d.steps.map((s) => ({ d, s }))).sort((a, b) => a.s.wall - b.s.wall);
-    const first = steps[0]?.s.wall ?? 0;
+  formatLines(request: { request: string; daemons: readonly DaemonSteps[] }): string[] {
+    const steps = request.daemons.flatMap((d) => d.steps.map((s) => ({ d, s }))).sort((a, b) => a.s.wall - b.s.wall);
+    const firstWallMs = steps[0]?.s.wall ?? 0;
     return [
-      `Request ${t.request}, from ${new Date(first).toISOString()}:`,
+      `Request ${request.request}, from ${new Date(firstWallMs).toISOString()}:`,
       ...steps.map(
         ({ d, s }) =>
-          `  +${String(Math.round(s.wall - first)).padStart(5)} ms  ${d.id.padEnd(10)} ${STEP_TEXTS[s.what](s)}.`,
+          `  +${String(Math.round(s.wall - firstWallMs)).padStart(5)} ms  ${d.id.padEnd(10)} ${STEP_TEXTS[s.what](s)}.`,
       ),
-      ...t.daemons.filter((d) => !d.reached).map((d) => `  ${d.id} is unreachable; it may know more.`),
+      ...request.daemons.filter((d) => !d.reached).map((d) => `  ${d.id} is unreachable; it may know more.`),
     ];
   },
 };
--- a/packages/clerk/src/lending/burststory.ts
+++ b/packages/clerk/src/lending/burststory.ts
@@ -8,12 +8,19 @@
 /** Formats the progress of a burst. */
 export const BurstReport = {
   /** Number of generations that have an outcome. */
-  settledCount: (s: Counts): number => s.ran + s.unsure + s.dropped,
-  formatCounts: (s: Counts): string => STATES.flatMap((p) => (s[p] > 0 ? [`${s[p]} ${p}`] : [])).join(', '),
-  formatLines(s: Summary): string[] {
-    if (s.gone) return [`Burst ${s.key} is ended, and its outcomes are gone.`];
+  settledCount: (counts: Counts): number => counts.ran + counts.unsure + counts.dropped,
+  formatCounts: (counts: Counts): string =>
+    STATES.flatMap((p) => (counts[p] > 0 ? [`${counts[p]} ${p}`] : [])).join(', '),
+  formatLines(summary: Summary): string[] {
+    if (summary.gone) return [`Burst ${summary.key} is ended, and its outcomes are gone.`];
     const state =
-      BurstReport.settledCount(s) === s.total ? 'is over' : s.ended ? 'is ended, and some run on' : 'is under way';
-    return [`Burst ${s.key} (number ${s.order}, rule ${s.rule}) ${state}: ${BurstReport.formatCounts(s)}.`];
+      BurstReport.settledCount(summary) === summary.total
+        ? 'is over'
+        : summary.ended
+          ? 'is ended, and some run on'
+          : 'is under way';
+    return [
+      `Burst ${summary.key} (number ${summary.order}, rule ${summary.rule}) ${state}: ${BurstReport.formatCounts(summary)}.`,
+    ];
   },
 };
--- a/packages/clerk/src/lending/loanstory.ts
+++ b/packages/clerk/src/lending/loanstory.ts
@@ -3,17 +3,17 @@
 type LoanSteps = { server: string; steps: { mark: [number, number]; wall: number; loan: LoanSince }[] };
 
 const REASON_TEXTS: Record<string, (l: Loan) => string> = {
-  lent: (l) => `${l.by} lent ${l.slots} slots that ${l.part} to ${l.holder}, for burst ${l.burst}`,
-  live: (l) => `${l.by} called it back from ${l.holder}: a live request would have had to wait`,
-  load: (l) => `${l.by} called it back from ${l.holder}: live work and what is kept leave nothing`,
-  given: (l) => `${l.holder} gave it back`,
-  lapsed: (l) => `the loan to ${l.holder} ran out, and was not asked for again`,
+  lent: (loan) => `${loan.by} lent ${loan.slots} slots that ${loan.part} to ${loan.holder}, for burst ${loan.burst}`,
+  live: (loan) => `${loan.by} called it back from ${loan.holder}: a live request would have had to wait`,
+  load: (loan) => `${loan.by} called it back from ${loan.holder}: live work and what is kept leave nothing`,
+  given: (loan) => `${loan.holder} gave it back`,
+  lapsed: (loan) => `the loan to ${loan.holder} ran out, and was not asked for again`,
 };
 
 /** Formats current loans as a table, and the history of one server's loans as a timeline. */
 export const LoanReport = {
-  formatTable(list: readonly LoanSince[]): string[] {
-    const lent = list.filter((l) => l.slots > 0);
+  formatTable(loans: readonly LoanSince[]): string[] {
+    const lent = loans.filter((l) => l.slots > 0);
     if (lent.length === 0) return ['Nothing is lent.'];
     return lent.map(
       (l) =>
@@ -21,13 +21,13 @@
         `${l.burst}, by ${l.by} since ${new Date(l.since).toISOString()}`,
     );
   },
-  formatLines(t: LoanSteps): string[] {
-    const first = t.steps[0]?.wall ?? 0;
+  formatLines(history: LoanSteps): string[] {
+    const firstWallMs = history.steps[0]?.wall ?? 0;
     return [
-      `Loans of ${t.server}:`,
-      ...t.steps.map(
+      `Loans of ${history.server}:`,
+      ...history.steps.map(
         (s) =>
-          `  +${String(Math.round(s.wall - first)).padStart(6)} ms  ${`${s.mark[0]}.${s.mark[1]}`.padEnd(7)} ` +
+          `  +${String(Math.round(s.wall - firstWallMs)).padStart(6)} ms  ${`${s.mark[0]}.${s.mark[1]}`.padEnd(7)} ` +
           `${REASON_TEXTS[s.loan.why]?.(s.loan) ?? s.loan.why}.`,
       ),
     ];
--- a/packages/clerk/src/lending/stories.test.ts
+++ b/packages/clerk/src/lending/stories.test.ts
@@ -2,8 +2,8 @@
 import { BurstReport } from './burststory.js';
 import { LoanReport } from './loanstory.js';
 
-const none = { waiting: 0, begun: 0, ran: 0, unsure: 0, dropped: 0 };
-const burst = { key: 'b', rule: 'rollout', order: 3, ended: false, gone: false, total: 4, ...none };
+const noGenerations = { waiting: 0, begun: 0, ran: 0, unsure: 0, dropped: 0 };
+const burst = { key: 'b', rule: 'rollout', order: 3, ended: false, gone: false, total: 4, ...noGenerations };
 const loan = { server: 'm1', part: 'decode', slots: 4, holder: 'e1', burst: 'b', why: 'lent', by: 'e2', since: 0 };
 
 describe('BurstReport', () => {
@@ -12,10 +12,10 @@
     ['a finished burst', { ran: 3, unsure: 1 }, 'is over: 3 ran, 1 unsure.'],
     ['a burst ended early', { ended: true, begun: 1, dropped: 3 }, 'is ended, and some run on: 1 begun, 3 dropped.'],
   ];
-  for (const [name, change, want] of cases)
+  for (const [name, change, expected] of cases)
     it(`formats ${name}`, () =>
       expect(BurstReport.formatLines({ ...burst, ...change })).to.deep.equal([
-        `Burst b (number 3, rule rollout) ${want}`,
+        `Burst b (number 3, rule rollout) ${expected}`,
       ]));
   it('formats a burst whose outcomes are deleted', () =>
     expect(BurstReport.formatLines({ ...burst, gone: true, total: 0 })).to.deep.equal([
@@ -32,8 +32,11 @@
   });
   it('formats each step of a loan', () => {
     const step = (why: string, wall: number) => ({ mark: [2, wall] as [number, number], wall, loan: { ...loan, why } });
-    const got = LoanReport.formatLines({ server: 'm1', steps: ['lent', 'live', 'load', 'given', 'lapsed'].map(step) });
-    expect(got).to.deep.equal([
+    const lines = LoanReport.formatLines({
+      server: 'm1',
+      steps: ['lent', 'live', 'load', 'given', 'lapsed'].map(step),
+    });
+    expect(lines).to.deep.equal([
       'Loans of m1:',
       '  +     0 ms  2.0     e2 lent 4 slots that decode to e1, for burst b.',
       '  +     1 ms  2.1     e2 called it back from e1: a live request would have had to wait.',
--- a/packages/clerk/src/story.test.ts
+++ b/packages/clerk/src/story.test.ts
@@ -1,12 +1,12 @@
 import { expect } from 'chai';
 import { TraceReport } from './story.js';
 
-type Told = Parameters<typeof TraceReport.formatLines>[0];
+type Trace = Parameters<typeof TraceReport.formatLines>[0];
 type Mark = [number, number];
 const step = (mark: Mark, wall: number, via: string, from: string, hops: number) => ({
   ...{ mark, via, from, origin: 'k1', hops, age: 0, round: 9, wall },
 });
-const daemon = (id: string, holds: Mark | null, steps: Told['daemons'][number]['steps'] = [], reached = true) => ({
+const daemon = (id: string, holds: Mark | null, steps: Trace['daemons'][number]['steps'] = [], reached = true) => ({
   ...{ id, reached, holds, steps },
 });
 
--- a/packages/clerk/src/where.ts
+++ b/packages/clerk/src/where.ts
@@ -3,7 +3,7 @@
 
 type Body = Record<string, unknown> | null;
 type Flags = { at?: string[] | undefined; daemon?: string[] | undefined };
-type FleetOperation = Parameters<(typeof Fleet)['with']>[1];
+type FleetOperation = Parameters<(typeof Fleet)['run']>[1];
 const DEFAULT_OPERATOR_ADDRESS = '127.0.0.1:8101';
 const IP_AND_PORT = /^(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-fA-F:]+\]):\d{1,5}$/;
 const addressesFromEnv = (name: string): string[] => (process.env[name] ?? '').split(/[ ,]+/).filter((a) => a !== '');
@@ -32,6 +32,6 @@
     const faults = daemonAddresses
       .filter((a) => !IP_AND_PORT.test(a) || SettingsReader.ports(a).length > 0)
       .map((a) => ({ path: a, why: 'is no IP number and port' }));
-    return faults.length > 0 ? { verdict: Verdicts.bad(faults) } : Fleet.with(daemonAddresses, fleetOperation);
+    return faults.length > 0 ? { verdict: Verdicts.bad(faults) } : Fleet.run(daemonAddresses, fleetOperation);
   },
 };
--- a/packages/client/src/client.test.ts
+++ b/packages/client/src/client.test.ts
@@ -20,7 +20,7 @@
   writeLine(res, { end: true, count: 2, digest: digest(['a', 'b']) });
   res.end();
 };
-const refuse =
+const answerRefused =
   (ran: string, status: number): Responder =>
   (res) => {
     res.writeHead(status);
@@ -30,12 +30,12 @@
   ['returns a complete answer', [answerWhole], { whole: true, attempts: [1], naps: [] }],
   [
     'retries a request that has not run with the next attempt number, after the delay asked for',
-    [refuse('no', 503), answerWhole],
+    [answerRefused('no', 503), answerWhole],
     { whole: true, attempts: [1, 2], naps: [2000] },
   ],
   [
     'does not retry a request that may have run',
-    [refuse('maybe', 502), answerWhole],
+    [answerRefused('maybe', 502), answerWhole],
     { whole: false, attempts: [1], naps: [] },
   ],
   [
@@ -105,7 +105,7 @@
     server.close(() => done());
     server.closeAllConnections();
   });
-  for (const [name, responders, want] of cases) {
+  for (const [name, responders, expected] of cases) {
     it(name, async () => {
       const attempts: number[] = [],
         naps: number[] = [];
@@ -129,7 +129,7 @@
         return Promise.resolve();
       };
       const got = await Client.make([addr], { sleep: sleep }).request({ key: 'k', prefix: 'p', part: 'q' });
-      expect({ whole: got.whole, attempts, naps }).to.deep.equal(want);
+      expect({ whole: got.whole, attempts, naps }).to.deep.equal(expected);
     });
   }
   const listen = async (respond: (v: Request, res: ServerResponse, n: number) => void): Promise<string> => {
@@ -179,7 +179,7 @@
     const named: (string[] | undefined)[] = [];
     const addr = await listen((v, res, n) => {
       named.push(v.owners);
-      if (n === 1) refuse('no', 503)(res);
+      if (n === 1) answerRefused('no', 503)(res);
       else answerWhole(res);
     });
     // Through the alias of request.
@@ -191,7 +191,7 @@
   });
   it('stops at its deadline, and does not retry if the delay would exceed it', async () => {
     const addr = await listen((_v, res, n) => {
-      if (n === 1) refuse('no', 503)(res);
+      if (n === 1) answerRefused('no', 503)(res);
     });
     const got = await Client.make([addr], { deadline: 1500 }).request(body);
     expect(got.whole).to.equal(false);
--- a/packages/client/src/client.ts
+++ b/packages/client/src/client.ts
@@ -43,11 +43,11 @@
     const daemonClient = DaemonClient.make(options.onConnect);
     const maxAttempts = options.tries ?? 4;
     const sleepFor = options.sleep ?? sleep;
-    let next = 0;
-    const nextDaemon = (): string => daemons[next++ % daemons.length]!;
+    let nextIndex = 0;
+    const nextDaemon = (): string => daemons[nextIndex++ % daemons.length]!;
     const queryOwners = async (): Promise<string[] | null> => {
       for (let i = 0; i < daemons.length; i++) {
-        const named = await daemonClient.owners(nextDaemon(), OWNERS_TIMEOUT_MS);
+        const named = await daemonClient.fetchOwners(nextDaemon(), OWNERS_TIMEOUT_MS);
         if (named) return named;
       }
       return null;
--- a/packages/client/src/line.ts
+++ b/packages/client/src/line.ts
@@ -72,7 +72,7 @@
     return {
       close: (): Promise<void> => agent.destroy(),
       /** The two daemon incarnations that are to record a request, as named by a daemon; null if it names none. */
-      async owners(addr: string, timeoutMs: number): Promise<string[] | null> {
+      async fetchOwners(addr: string, timeoutMs: number): Promise<string[] | null> {
         try {
           const response = await httpRequest(`http://${addr}/owners`, {
             dispatcher: agent,
--- a/packages/counterd/src/settings.test.ts
+++ b/packages/counterd/src/settings.test.ts
@@ -18,10 +18,10 @@
 ];
 
 describe('Settings of counterd', () => {
-  for (const [name, change, want] of cases) {
+  for (const [name, change, expected] of cases) {
     it(`checks ${name}`, async () => {
-      const got = await SettingsReader.read(Settings, undefined, { ...valid, ...change });
-      expect(got.ok ? [] : [...new Set(got.val.map((f) => f.path))].sort()).to.deep.equal(want);
+      const result = await SettingsReader.read(Settings, undefined, { ...valid, ...change });
+      expect(result.ok ? [] : [...new Set(result.val.map((f) => f.path))].sort()).to.deep.equal(expected);
     });
   }
 });
