--- a/examples/registry.mjs
+++ b/examples/registry.mjs
@@ -1,4 +1,5 @@
-// Embeds the control plane: three core daemons in this process, with data folders, confirm a configuration through a chain.
+// Embeds the control plane: three core daemons in this process, with data folders, confirm a configuration through
+// a chain.
 import { FileDisk, Logs, Machine, Post } from '@pumicebarrow/forms';
 import { Tuned } from '@pumicebarrow/purge';
 import { ControlClient, Registrar } from '@pumicebarrow/registry';
--- a/packages/clerk/src/commands/drop.ts
+++ b/packages/clerk/src/commands/drop.ts
@@ -6,7 +6,7 @@
 
 /** The command `clerk drop`. */
 export class DropCommand extends Command {
-  static override description = 'Discard a stored plan. It can no longer be confirmed.';
+  static override description = 'Discard a stored plan. It will never take effect.';
   static override args = {
     plan: Args.string({ description: 'name of the plan, as printed by clerk plan', required: true }),
   };
--- a/packages/clerk/src/commands/status.ts
+++ b/packages/clerk/src/commands/status.ts
@@ -10,6 +10,7 @@
   !d.reached ? 'UNREACHABLE' : d.sure ? `holds ${d.version ?? 'none'}` : 'not confirmed yet';
 
 type DaemonRow = { id: string; site: string; role: string; reached: boolean; sure: boolean; version: number | null };
+/** `mark` is the fence and step under which the assignment was made. */
 type StageAssignment = { server: string; part: string; stage: string; by: string; mark: [number, number] };
 
 /** The command `clerk status`. */
--- a/packages/clerk/src/counterrequeststory.ts
+++ b/packages/clerk/src/counterrequeststory.ts
@@ -1,4 +1,5 @@
 type Step = { what: string; wall: number; attempt: number; more: Record<string, unknown> };
+/** What one daemon knows of the request; `entry` is its request record. */
 type DaemonSteps = {
   id: string;
   reached: boolean;
@@ -6,15 +7,16 @@
   entry: { attempt: number; state: string; by: string } | null;
 };
 
-const format = (v: unknown): string => (Array.isArray(v) ? v.join(' and ') : String(v));
+/** A value as text; a list is joined. */
+const text = (v: unknown): string => (Array.isArray(v) ? v.join(' and ') : String(v));
 const STEP_TEXTS: Record<string, (m: Record<string, unknown>) => string> = {
-  gated: (m) => `admitted it by route ${format(m['rule'])}`,
-  recorded: (m) => `recorded it at ${format(m['owners'])}`,
+  gated: (m) => `admitted it by route ${text(m['rule'])}`,
+  recorded: (m) => `recorded it at ${text(m['owners'])}`,
   send: (m) =>
-    `sent it to ${format(m['server'])} to ${format(m['part'])}, under configuration ${format(m['version'] ?? 'as before')}`,
-  streams: (m) => `received the first piece from ${format(m['server'])}`,
-  extra: (m) => `spent a retry after ${format(m['code'])}`,
-  visit: (m) => `finished it: ran ${format(m['ran'])}, ${format(m['code'])}`,
+    `sent it to ${text(m['server'])} to ${text(m['part'])}, under configuration ${text(m['version'] ?? 'as before')}`,
+  streams: (m) => `received the first piece from ${text(m['server'])}`,
+  extra: (m) => `spent a retry after ${text(m['code'])}`,
+  visit: (m) => `finished it: ran ${text(m['ran'])}, ${text(m['code'])}`,
 };
 
 /** Formats the recorded steps of a request, as reported by all daemons, as a timeline. */
--- a/packages/clerk/src/fleet/fleetwellness.ts
+++ b/packages/clerk/src/fleet/fleetwellness.ts
@@ -40,7 +40,7 @@
   const status = daemon.told;
   if (!status) return [`${daemon.role} ${daemon.id} can not be reached`];
   if (!status.sure && daemon.role === 'keeper')
-    return [`control replica ${daemon.id} has no claim on the chain, and says nothing`];
+    return [`control replica ${daemon.id} holds no lease or no committed state, and does not answer`];
   if (!status.sure) return [`router ${daemon.id} is learning the newest configuration, and refuses requests`];
   const problems: string[] = [];
   const held = status.configuration;
--- a/packages/clerk/src/fleet/requeststory.ts
+++ b/packages/clerk/src/fleet/requeststory.ts
@@ -1,5 +1,6 @@
 import type { RequestStep } from '@pumicebarrow/router';
 
+/** The steps that one router has logged for the request. */
 type DaemonSteps = { id: string; zone: string; reached: boolean; steps: readonly RequestStep[] };
 const plural = (n: number, noun: string): string => `${n} ${noun}${n === 1 ? '' : 's'}`;
 const RAN_TEXTS: Record<string, string> = { no: 'it has not run', maybe: 'it may have run', yes: 'it ran' };
--- a/packages/clerk/src/lending/burststory.ts
+++ b/packages/clerk/src/lending/burststory.ts
@@ -11,16 +11,16 @@
   settledCount: (counts: Counts): number => counts.ran + counts.unsure + counts.dropped,
   formatCounts: (counts: Counts): string =>
     STATES.flatMap((p) => (counts[p] > 0 ? [`${counts[p]} ${p}`] : [])).join(', '),
-  formatLines(summary: Summary): string[] {
-    if (summary.gone) return [`Burst ${summary.key} is ended, and its outcomes are gone.`];
+  formatLines(burst: Summary): string[] {
+    if (burst.gone) return [`Burst ${burst.key} is ended, and its outcomes are gone.`];
     const state =
-      BurstReport.settledCount(summary) === summary.total
+      BurstReport.settledCount(burst) === burst.total
         ? 'is over'
-        : summary.ended
+        : burst.ended
           ? 'is ended, and some run on'
           : 'is under way';
     return [
-      `Burst ${summary.key} (number ${summary.order}, rule ${summary.rule}) ${state}: ${BurstReport.formatCounts(summary)}.`,
+      `Burst ${burst.key} (number ${burst.order}, rule ${burst.rule}) ${state}: ${BurstReport.formatCounts(burst)}.`,
     ];
   },
 };
--- a/packages/clerk/src/lending/loanstory.ts
+++ b/packages/clerk/src/lending/loanstory.ts
@@ -1,3 +1,4 @@
+/** A loan, or its end (`slots` 0). `part` is the stage, `holder` the borrower, `by` the lending daemon. */
 type Loan = { server: string; part: string; slots: number; holder: string; burst: string; why: string; by: string };
 type LoanSince = Loan & { since: number };
 type LoanSteps = { server: string; steps: { mark: [number, number]; wall: number; loan: LoanSince }[] };
--- a/packages/clerk/src/story.ts
+++ b/packages/clerk/src/story.ts
@@ -1,6 +1,8 @@
+/** One arrival of a version of the document at a daemon, by gossip or otherwise. */
 type Step = {
   /** Version stamp: version or fence, and step. */
   mark: [number, number];
+  /** How it arrived: a key of `VIA_TEXTS`. */
   via: string;
   from: string;
   origin: string;
@@ -17,7 +19,7 @@
 const VIA_TEXTS: Record<string, string> = {
   origin: 'made it',
   sender: 'pulled it from the sender',
-  fallback: 'pulled it from another daemon because the sender did not reply',
+  fallback: 'pulled it from another daemon because the sender could not provide it',
   repair: 'was repaired by comparing digests',
   catchup: 'caught up outside of gossip',
 };
--- a/packages/client/src/client.test.ts
+++ b/packages/client/src/client.test.ts
@@ -26,22 +26,22 @@
     res.writeHead(status);
     res.end(JSON.stringify({ verdict: { ran, code: 'x', why: 'y', after: 2 } }));
   };
-const cases: [string, Responder[], { whole: boolean; attempts: number[]; naps: number[] }][] = [
-  ['returns a complete answer', [answerWhole], { whole: true, attempts: [1], naps: [] }],
+const cases: [string, Responder[], { whole: boolean; attempts: number[]; delaysMs: number[] }][] = [
+  ['returns a complete answer', [answerWhole], { whole: true, attempts: [1], delaysMs: [] }],
   [
     'retries a request that has not run with the next attempt number, after the delay asked for',
     [answerRefused('no', 503), answerWhole],
-    { whole: true, attempts: [1, 2], naps: [2000] },
+    { whole: true, attempts: [1, 2], delaysMs: [2000] },
   ],
   [
     'does not retry a request that may have run',
     [answerRefused('maybe', 502), answerWhole],
-    { whole: false, attempts: [1], naps: [] },
+    { whole: false, attempts: [1], delaysMs: [] },
   ],
   [
     'retries with the next attempt number if the connection breaks before the first piece',
     [(res) => res.destroy(), answerWhole],
-    { whole: true, attempts: [1, 2], naps: [1000] },
+    { whole: true, attempts: [1, 2], delaysMs: [1000] },
   ],
   [
     'does not retry if the connection breaks after a piece',
@@ -52,7 +52,7 @@
       },
       answerWhole,
     ],
-    { whole: false, attempts: [1], naps: [] },
+    { whole: false, attempts: [1], delaysMs: [] },
   ],
   [
     'reports an answer that the daemon cut short as incomplete',
@@ -63,7 +63,7 @@
         res.end();
       },
     ],
-    { whole: false, attempts: [1], naps: [] },
+    { whole: false, attempts: [1], delaysMs: [] },
   ],
   [
     'reports a stream without an end line as incomplete',
@@ -73,7 +73,7 @@
         res.end();
       },
     ],
-    { whole: false, attempts: [1], naps: [] },
+    { whole: false, attempts: [1], delaysMs: [] },
   ],
   [
     'reports a missing piece as incomplete',
@@ -84,7 +84,7 @@
         res.end();
       },
     ],
-    { whole: false, attempts: [1], naps: [] },
+    { whole: false, attempts: [1], delaysMs: [] },
   ],
   [
     'reports an end line with a wrong digest as incomplete',
@@ -95,7 +95,7 @@
         res.end();
       },
     ],
-    { whole: false, attempts: [1], naps: [] },
+    { whole: false, attempts: [1], delaysMs: [] },
   ],
 ];
 
@@ -108,7 +108,7 @@
   for (const [name, responders, expected] of cases) {
     it(name, async () => {
       const attempts: number[] = [],
-        naps: number[] = [];
+        delaysMs: number[] = [];
       let i = 0;
       server = createServer((req, res) => {
         let text = '';
@@ -125,11 +125,11 @@
       });
       const addr = `127.0.0.1:${(server.address() as { port: number }).port}`;
       const sleep = (ms: number): Promise<void> => {
-        naps.push(ms);
+        delaysMs.push(ms);
         return Promise.resolve();
       };
-      const got = await Client.make([addr], { sleep: sleep }).request({ key: 'k', prefix: 'p', part: 'q' });
-      expect({ whole: got.whole, attempts, naps }).to.deep.equal(expected);
+      const got = await Client.make([addr], { sleep }).request({ key: 'k', prefix: 'p', part: 'q' });
+      expect({ whole: got.whole, attempts, delaysMs }).to.deep.equal(expected);
     });
   }
   const listen = async (respond: (v: Request, res: ServerResponse, n: number) => void): Promise<string> => {
@@ -163,7 +163,7 @@
     const onConnect = (s: Socket): void => {
       socket = s;
     };
-    const got = await Client.make([addr], { sleep: sleep, onConnect: onConnect }).request(body);
+    const got = await Client.make([addr], { sleep, onConnect }).request(body);
     expect({ whole: got.whole, attempts }).to.deep.equal({ whole: true, attempts: [1, 2] });
   });
   it('keeps the attempt number if a daemon can not be reached, and calls the next daemon', async () => {
@@ -172,7 +172,7 @@
       attempts.push(v.attempt);
       answerWhole(res);
     });
-    const got = await Client.make(['127.0.0.1:1', addr], { sleep: sleep }).request(body);
+    const got = await Client.make(['127.0.0.1:1', addr], { sleep }).request(body);
     expect({ whole: got.whole, attempts }).to.deep.equal({ whole: true, attempts: [1] });
   });
   it('sends the same pinned owners with each call for a key', async () => {
@@ -183,7 +183,7 @@
       else answerWhole(res);
     });
     // Through the alias of request.
-    await Client.make([addr], { sleep: sleep, pin: true }).visit(body);
+    await Client.make([addr], { sleep, pin: true }).visit(body);
     expect(named).to.deep.equal([
       ['e1/a', 'e2/b'],
       ['e1/a', 'e2/b'],
