--- a/packages/clerk/src/fleet/statuslines.ts
+++ b/packages/clerk/src/fleet/statuslines.ts
@@ -2,57 +2,69 @@
 import type { Daemon } from './daemon.js';
 import type { FleetState } from './fleetstate.js';
 
-type Told = FleetState & { wrong: readonly string[] };
+type CheckedFleetState = FleetState & { wrong: readonly string[] };
+/** One second in ms. */
 const SECOND = 1000;
-const long = (ms: number): string => (ms < 10 * SECOND ? `${Math.round(ms)} ms` : `${Math.round(ms / SECOND)} s`);
-const since = (age: number, now: number): string =>
-  `since ${new Date(now - age).toISOString().slice(0, 19)}Z (${long(age)})`;
-const holds = (t: DaemonStatus, now: number): string => {
-  const c = t.configuration;
-  return c ? `revision ${c.revision} ${since(c.age, now)}` : 'no configuration';
+const formatMs = (ms: number): string => (ms < 10 * SECOND ? `${Math.round(ms)} ms` : `${Math.round(ms / SECOND)} s`);
+const formatSince = (age: number, now: number): string =>
+  `since ${new Date(now - age).toISOString().slice(0, 19)}Z (${formatMs(age)})`;
+const formatConfiguration = (status: DaemonStatus, now: number): string => {
+  const configuration = status.configuration;
+  return configuration
+    ? `revision ${configuration.revision} ${formatSince(configuration.age, now)}`
+    : 'no configuration';
 };
-const list = ({ mark, age, servers }: DaemonStatus['list']): string => {
+const formatServerList = ({ mark, age, servers }: DaemonStatus['list']): string => {
   if (!mark) return 'no list';
-  const old = age === null ? '' : `, ${long(age)} old`;
-  return `list ${mark.join('.')} of ${servers} servers${old}`;
+  const ageText = age === null ? '' : `, ${formatMs(age)} old`;
+  return `list ${mark.join('.')} of ${servers} servers${ageText}`;
 };
-const daemon = (d: Daemon, now: number): string => {
-  const name = `  ${d.id.padEnd(10)} ${d.role.padEnd(7)} ${d.zone.padEnd(8)} `;
-  if (!d.told) return `${name}UNREACHABLE at ${d.addr}`;
-  const state = `${d.told.state}${d.told.head ? ', head' : ''}`.padEnd(16);
-  return `${name}${state} ${holds(d.told, now)}; ${list(d.told.list)}`;
+const formatDaemon = (daemon: Daemon, now: number): string => {
+  const name = `  ${daemon.id.padEnd(10)} ${daemon.role.padEnd(7)} ${daemon.zone.padEnd(8)} `;
+  if (!daemon.told) return `${name}UNREACHABLE at ${daemon.addr}`;
+  const state = `${daemon.told.state}${daemon.told.head ? ', head' : ''}`.padEnd(16);
+  return `${name}${state} ${formatConfiguration(daemon.told, now)}; ${formatServerList(daemon.told.list)}`;
 };
-const servers = (s: FleetState): string[] =>
-  (s.servers ?? []).map((x) => {
-    const order = s.orders.find((o) => o.server === x.id && !o.done);
-    const who = s.daemons.filter((d) => d.told?.suspected.includes(x.id)).map((d) => d.id);
-    const more = [
+const formatServers = (fleet: FleetState): string[] =>
+  (fleet.servers ?? []).map((server) => {
+    const order = fleet.orders.find((o) => o.server === server.id && !o.done);
+    const suspectingDaemons = fleet.daemons.filter((d) => d.told?.suspected.includes(server.id)).map((d) => d.id);
+    const notes = [
       ...(order ? [`ordered to ${order.stage} by ${order.by} under fence ${order.mark.join('.')}`] : []),
-      ...(who.length > 0 ? [`under suspicion at ${who.join(', ')}`] : []),
+      ...(suspectingDaemons.length > 0 ? [`under suspicion at ${suspectingDaemons.join(', ')}`] : []),
     ];
-    const row = [x.id.padEnd(12), x.service.padEnd(10), (x.stage ?? 'none').padEnd(8), x.zone.padEnd(8), x.state];
-    return `  ${[row.join(' '), ...more].join('; ')}`;
+    const row = [
+      server.id.padEnd(12),
+      server.service.padEnd(10),
+      (server.stage ?? 'none').padEnd(8),
+      server.zone.padEnd(8),
+      server.state,
+    ];
+    return `  ${[row.join(' '), ...notes].join('; ')}`;
   });
-const stages = (s: FleetState): string => {
-  const n = (stage: string): number => (s.servers ?? []).filter((x) => x.stage === stage && x.state === 'ready').length;
-  return `${n('prefill')} read, ${n('decode')} decode, ${(s.servers ?? []).length} in all`;
+const formatStageCounts = (fleet: FleetState): string => {
+  const readyCount = (stage: string): number =>
+    (fleet.servers ?? []).filter((x) => x.stage === stage && x.state === 'ready').length;
+  return `${readyCount('prefill')} read, ${readyCount('decode')} decode, ${(fleet.servers ?? []).length} in all`;
 };
 
-/** The state of a routed fleet, so that a newcomer can read it. */
-export const StatusLines = {
-  of(s: Told, now: number): string[] {
-    const head = s.daemons.find((d) => d.told?.head);
-    const epoch = s.view ? `at epoch ${s.view.epoch}` : 'at an unknown epoch';
-    const chain = s.view ? s.view.chain.map((m) => m.id).join(' > ') : 'unknown';
-    const force = s.core?.routing ? `revision ${s.core.routing.revision} (version ${s.core.version})` : 'none';
+/** Formats the state of a routed fleet for `clerk status`. */
+export const StatusReport = {
+  formatLines(fleet: CheckedFleetState, now: number): string[] {
+    const head = fleet.daemons.find((d) => d.told?.head);
+    const epoch = fleet.view ? `at epoch ${fleet.view.epoch}` : 'at an unknown epoch';
+    const chain = fleet.view ? fleet.view.chain.map((m) => m.id).join(' > ') : 'unknown';
+    const inForce = fleet.core?.routing
+      ? `revision ${fleet.core.routing.revision} (version ${fleet.core.version})`
+      : 'none';
     return [
-      s.wrong.length === 0 ? 'The fleet is well.' : `The fleet is not well (${s.wrong.length}):`,
-      ...s.wrong.map((w) => `  - ${w}`),
+      fleet.wrong.length === 0 ? 'The fleet is well.' : `The fleet is not well (${fleet.wrong.length}):`,
+      ...fleet.wrong.map((w) => `  - ${w}`),
       `Head: ${head ? head.id : 'none'} ${epoch}, chain ${chain}.`,
-      `Configuration in force: ${s.core ? force : 'unknown, the core does not reply'}.`,
-      ...s.daemons.map((d) => daemon(d, now)),
-      s.servers === null ? 'Servers: no list is held.' : `Servers: ${stages(s)}.`,
-      ...servers(s),
+      `Configuration in force: ${fleet.core ? inForce : 'unknown, the core does not reply'}.`,
+      ...fleet.daemons.map((d) => formatDaemon(d, now)),
+      fleet.servers === null ? 'Servers: no list is held.' : `Servers: ${formatStageCounts(fleet)}.`,
+      ...formatServers(fleet),
     ];
   },
 };
--- a/packages/clerk/src/lending/burststory.ts
+++ b/packages/clerk/src/lending/burststory.ts
@@ -1,16 +1,26 @@
+/** Generations by state; `unsure` ones may or may not have run. */
 type Counts = { total: number; waiting: number; begun: number; ran: number; unsure: number; dropped: number };
+/** `order` numbers the bursts; `gone` means that the outcomes are deleted. */
 type Summary = Counts & { key: string; rule: string; order: number; ended: boolean; gone: boolean };
 
-const PARTS = ['ran', 'begun', 'waiting', 'unsure', 'dropped'] as const;
+const STATES = ['ran', 'begun', 'waiting', 'unsure', 'dropped'] as const;
 
-/** A burst in plain words. */
-export const BurstStory = {
-  /** How many generations have their outcome. */
-  over: (s: Counts): number => s.ran + s.unsure + s.dropped,
-  words: (s: Counts): string => PARTS.flatMap((p) => (s[p] > 0 ? [`${s[p]} ${p}`] : [])).join(', '),
-  lines(s: Summary): string[] {
-    if (s.gone) return [`Burst ${s.key} is ended, and its outcomes are gone.`];
-    const state = BurstStory.over(s) === s.total ? 'is over' : s.ended ? 'is ended, and some run on' : 'is under way';
-    return [`Burst ${s.key} (number ${s.order}, rule ${s.rule}) ${state}: ${BurstStory.words(s)}.`];
+/** Formats the progress of a burst. */
+export const BurstReport = {
+  /** Number of generations that have an outcome. */
+  settledCount: (counts: Counts): number => counts.ran + counts.unsure + counts.dropped,
+  formatCounts: (counts: Counts): string =>
+    STATES.flatMap((p) => (counts[p] > 0 ? [`${counts[p]} ${p}`] : [])).join(', '),
+  formatLines(burst: Summary): string[] {
+    if (burst.gone) return [`Burst ${burst.key} is ended, and its outcomes are gone.`];
+    const state =
+      BurstReport.settledCount(burst) === burst.total
+        ? 'is over'
+        : burst.ended
+          ? 'is ended, and some run on'
+          : 'is under way';
+    return [
+      `Burst ${burst.key} (number ${burst.order}, rule ${burst.rule}) ${state}: ${BurstReport.formatCounts(burst)}.`,
+    ];
   },
 };
--- a/packages/clerk/src/lending/loanstory.ts
+++ b/packages/clerk/src/lending/loanstory.ts
@@ -1,19 +1,20 @@
+/** A loan, or its end (`slots` 0). `part` is the stage, `holder` the borrower, `by` the lending daemon. */
 type Loan = { server: string; part: string; slots: number; holder: string; burst: string; why: string; by: string };
-type Dated = Loan & { since: number };
-type Story = { server: string; steps: { mark: [number, number]; wall: number; loan: Dated }[] };
+type LoanSince = Loan & { since: number };
+type LoanSteps = { server: string; steps: { mark: [number, number]; wall: number; loan: LoanSince }[] };
 
-const WHY: Record<string, (l: Loan) => string> = {
-  lent: (l) => `${l.by} lent ${l.slots} slots that ${l.part} to ${l.holder}, for burst ${l.burst}`,
-  live: (l) => `${l.by} called it back from ${l.holder}: a live request would have had to wait`,
-  load: (l) => `${l.by} called it back from ${l.holder}: live work and what is kept leave nothing`,
-  given: (l) => `${l.holder} gave it back`,
-  lapsed: (l) => `the loan to ${l.holder} ran out, and was not asked for again`,
+const REASON_TEXTS: Record<string, (l: Loan) => string> = {
+  lent: (loan) => `${loan.by} lent ${loan.slots} slots that ${loan.part} to ${loan.holder}, for burst ${loan.burst}`,
+  live: (loan) => `${loan.by} called it back from ${loan.holder}: a live request would have had to wait`,
+  load: (loan) => `${loan.by} called it back from ${loan.holder}: live work and what is kept leave nothing`,
+  given: (loan) => `${loan.holder} gave it back`,
+  lapsed: (loan) => `the loan to ${loan.holder} ran out, and was not asked for again`,
 };
 
-/** Loans told so that a newcomer can follow them. */
-export const LoanStory = {
-  table(list: readonly Dated[]): string[] {
-    const lent = list.filter((l) => l.slots > 0);
+/** Formats current loans as a table, and the history of one server's loans as a timeline. */
+export const LoanReport = {
+  formatTable(loans: readonly LoanSince[]): string[] {
+    const lent = loans.filter((l) => l.slots > 0);
     if (lent.length === 0) return ['Nothing is lent.'];
     return lent.map(
       (l) =>
@@ -21,14 +22,14 @@
         `${l.burst}, by ${l.by} since ${new Date(l.since).toISOString()}`,
     );
   },
-  lines(t: Story): string[] {
-    const first = t.steps[0]?.wall ?? 0;
+  formatLines(history: LoanSteps): string[] {
+    const firstWallMs = history.steps[0]?.wall ?? 0;
     return [
-      `Loans of ${t.server}:`,
-      ...t.steps.map(
+      `Loans of ${history.server}:`,
+      ...history.steps.map(
         (s) =>
-          `  +${String(Math.round(s.wall - first)).padStart(6)} ms  ${`${s.mark[0]}.${s.mark[1]}`.padEnd(7)} ` +
-          `${WHY[s.loan.why]?.(s.loan) ?? s.loan.why}.`,
+          `  +${String(Math.round(s.wall - firstWallMs)).padStart(6)} ms  ${`${s.mark[0]}.${s.mark[1]}`.padEnd(7)} ` +
+          `${REASON_TEXTS[s.loan.why]?.(s.loan) ?? s.loan.why}.`,
       ),
     ];
   },
