--- a/examples/registry.mjs
+++ b/examples/registry.mjs
@@ -1,8 +1,8 @@
 // Embeds the control plane: three core daemons in this process, with data folders, confirm a configuration through
 // a chain.
-import { FileDisk, Logs, Machine, Post } from '@pumicebarrow/forms';
-import { Tuned } from '@pumicebarrow/purge';
-import { ControlClient, Registrar } from '@pumicebarrow/registry';
+import { FileDisk, Logs, ProductionWorld, Messaging } from '@pumicebarrow/forms';
+import { GossipDefaults } from '@pumicebarrow/purge';
+import { ControlClient, RegistryNode } from '@pumicebarrow/registry';
 import { mkdtemp, rm } from 'node:fs/promises';
 import { createServer } from 'node:net';
 import { tmpdir } from 'node:os';
@@ -16,17 +16,17 @@
 const worlds = [];
 const nodes = [];
 for (const [i, addr] of cores.entries()) {
-  const world = { ...(await Machine.make(`c${i + 1}`, addr, 'warn', await FileDisk.make(join(dir, `c${i + 1}`)))), log: Logs.quiet };
-  const created = await Registrar.make(world, { id: `c${i + 1}`, addr, site: 'here', seeds: cores.filter((a) => a !== addr), tunes: Tuned });
+  const world = { ...(await ProductionWorld.make(`c${i + 1}`, addr, 'warn', await FileDisk.make(join(dir, `c${i + 1}`)))), log: Logs.silent };
+  const created = await RegistryNode.make(world, { id: `c${i + 1}`, addr, site: 'here', seeds: cores.filter((a) => a !== addr), tunes: GossipDefaults });
   if (created.err) throw new Error(created.val);
   created.val.start();
   worlds.push(world);
   nodes.push(created.val);
 }
-const world = { ...(await Machine.make('op', addrs[3], 'warn', null)), log: Logs.quiet };
+const world = { ...(await ProductionWorld.make('op', addrs[3], 'warn', null)), log: Logs.silent };
 worlds.push(world);
 const self = { id: 'op', born: 'first', addr: addrs[3], site: 'here', role: 'counter' };
-const controlClient = ControlClient.make(world, Post.make(world, () => self), () => cores);
+const controlClient = ControlClient.make(world, Messaging.make(world, () => self), () => cores);
 const configuration = {
   sites: ['here'], fallback: 'verdict',
   rules: [{ name: 'verdict', weight: 1, urgency: 9, limit: 5, waitlist: 5, deadline: 2000, pieces: 2, bytes: 1000 }],
--- a/packages/clerk/src/commands/burstbegin.ts
+++ b/packages/clerk/src/commands/burstbegin.ts
@@ -1,9 +1,9 @@
 import { Args, Command } from '@oclif/core';
 import { readFile } from 'node:fs/promises';
-import { CommonFlags } from '../common.js';
-import { OperatorClient } from '../desk.js';
+import { CommonFlags } from '../commonflags.js';
+import { OperatorClient } from '../operatorclient.js';
 import { Printer } from '../printer.js';
-import { CommandTransport } from '../where.js';
+import { CommandTransport } from '../commandtransport.js';
 
 /** The command `clerk burst begin`. */
 export class BurstBeginCommand extends Command {
--- a/packages/clerk/src/commands/bursts.ts
+++ b/packages/clerk/src/commands/bursts.ts
@@ -1,9 +1,9 @@
 import { Command } from '@oclif/core';
-import { BurstReport } from '../lending/burststory.js';
-import { CommonFlags } from '../common.js';
-import { OperatorClient } from '../desk.js';
+import { BurstReport } from '../lending/burstreport.js';
+import { CommonFlags } from '../commonflags.js';
+import { OperatorClient } from '../operatorclient.js';
 import { Printer } from '../printer.js';
-import { CommandTransport } from '../where.js';
+import { CommandTransport } from '../commandtransport.js';
 
 /** The command `clerk bursts`. */
 export class BurstsCommand extends Command {
--- a/packages/clerk/src/commands/burstwatch.ts
+++ b/packages/clerk/src/commands/burstwatch.ts
@@ -1,12 +1,12 @@
 import { Args, Command, Flags } from '@oclif/core';
 import { SingleBar } from 'cli-progress';
 import { setTimeout as sleep } from 'node:timers/promises';
-import { BurstReport } from '../lending/burststory.js';
-import { CommonFlags } from '../common.js';
-import { OperatorClient } from '../desk.js';
+import { BurstReport } from '../lending/burstreport.js';
+import { CommonFlags } from '../commonflags.js';
+import { OperatorClient } from '../operatorclient.js';
 import { ExitCode } from '../exitcode.js';
 import { Printer } from '../printer.js';
-import { CommandTransport } from '../where.js';
+import { CommandTransport } from '../commandtransport.js';
 
 type Summary = Parameters<typeof BurstReport.formatLines>[0];
 const POLL_INTERVAL_MS = 500;
--- a/packages/clerk/src/commands/counterrequest.ts
+++ b/packages/clerk/src/commands/counterrequest.ts
@@ -1,9 +1,9 @@
 import { Args, Command } from '@oclif/core';
-import { CommonFlags } from '../common.js';
-import { OperatorClient } from '../desk.js';
+import { CommonFlags } from '../commonflags.js';
+import { OperatorClient } from '../operatorclient.js';
 import { Printer } from '../printer.js';
-import { CommandTransport } from '../where.js';
-import { CounterRequestTimeline } from '../counterrequeststory.js';
+import { CommandTransport } from '../commandtransport.js';
+import { CounterRequestTimeline } from '../counterrequesttimeline.js';
 
 /** The command `clerk visit`. */
 export class CounterRequestCommand extends Command {
--- a/packages/clerk/src/commands/drop.ts
+++ b/packages/clerk/src/commands/drop.ts
@@ -1,8 +1,8 @@
 import { Args, Command } from '@oclif/core';
-import { CommonFlags } from '../common.js';
-import { OperatorClient } from '../desk.js';
+import { CommonFlags } from '../commonflags.js';
+import { OperatorClient } from '../operatorclient.js';
 import { Printer } from '../printer.js';
-import { CommandTransport } from '../where.js';
+import { CommandTransport } from '../commandtransport.js';
 
 /** The command `clerk drop`. */
 export class DropCommand extends Command {
--- a/packages/clerk/src/commands/loan.ts
+++ b/packages/clerk/src/commands/loan.ts
@@ -1,9 +1,9 @@
 import { Args, Command } from '@oclif/core';
-import { CommonFlags } from '../common.js';
-import { OperatorClient } from '../desk.js';
-import { LoanReport } from '../lending/loanstory.js';
+import { CommonFlags } from '../commonflags.js';
+import { OperatorClient } from '../operatorclient.js';
+import { LoanReport } from '../lending/loanreport.js';
 import { Printer } from '../printer.js';
-import { CommandTransport } from '../where.js';
+import { CommandTransport } from '../commandtransport.js';
 
 /** The command `clerk loan`. */
 export class LoanCommand extends Command {
--- a/packages/clerk/src/commands/status.ts
+++ b/packages/clerk/src/commands/status.ts
@@ -1,9 +1,9 @@
 import { Command } from '@oclif/core';
-import { CommonFlags } from '../common.js';
-import { OperatorClient } from '../desk.js';
+import { CommonFlags } from '../commonflags.js';
+import { OperatorClient } from '../operatorclient.js';
 import { Printer } from '../printer.js';
-import { StatusReport } from '../fleet/statuslines.js';
-import { CommandTransport } from '../where.js';
+import { StatusReport } from '../fleet/statusreport.js';
+import { CommandTransport } from '../commandtransport.js';
 
 /** The configuration version held by a daemon. A daemon that has just started or resumed has not confirmed it yet. */
 const configurationText = (d: DaemonRow): string =>
--- a/packages/clerk/src/commands/trace.ts
+++ b/packages/clerk/src/commands/trace.ts
@@ -1,9 +1,9 @@
 import { Args, Command, Flags } from '@oclif/core';
-import { CommonFlags } from '../common.js';
-import { OperatorClient } from '../desk.js';
+import { CommonFlags } from '../commonflags.js';
+import { OperatorClient } from '../operatorclient.js';
 import { Printer } from '../printer.js';
-import { CommandTransport } from '../where.js';
-import { TraceReport } from '../story.js';
+import { CommandTransport } from '../commandtransport.js';
+import { TraceReport } from '../tracereport.js';
 
 /** The command `clerk trace`. */
 export class TraceCommand extends Command {
--- a/packages/clerk/src/where.ts
+++ b/packages/clerk/src/commandtransport.ts
@@ -21,17 +21,19 @@
     const daemonAddresses = flags.daemon ?? (flags.at ? [] : addressesFromEnv('PUMICEBARROW_DAEMONS'));
     if (daemonAddresses.length === 0) {
       if (!httpRequest)
-        return { verdict: Verdicts.bad([{ path: '--daemon', why: 'is needed, or PUMICEBARROW_DAEMONS' }]) };
+        return { verdict: Verdicts.invalid([{ path: '--daemon', why: 'is needed, or PUMICEBARROW_DAEMONS' }]) };
       const operatorAddresses = flags.at ?? addressesFromEnv('PUMICEBARROW_AT');
       return (await httpRequest(operatorAddresses.length > 0 ? operatorAddresses : [DEFAULT_OPERATOR_ADDRESS])).body;
     }
     if (!fleetOperation)
       return {
-        verdict: Verdicts.bad([{ path: '--at', why: 'is needed: routers and control replicas do not support this' }]),
+        verdict: Verdicts.invalid([
+          { path: '--at', why: 'is needed: routers and control replicas do not support this' },
+        ]),
       };
     const faults = daemonAddresses
-      .filter((a) => !IP_AND_PORT.test(a) || SettingsReader.ports(a).length > 0)
+      .filter((a) => !IP_AND_PORT.test(a) || SettingsReader.addressFaults(a).length > 0)
       .map((a) => ({ path: a, why: 'is no IP number and port' }));
-    return faults.length > 0 ? { verdict: Verdicts.bad(faults) } : Fleet.run(daemonAddresses, fleetOperation);
+    return faults.length > 0 ? { verdict: Verdicts.invalid(faults) } : Fleet.run(daemonAddresses, fleetOperation);
   },
 };
--- a/packages/clerk/src/fleet/commands/request.ts
+++ b/packages/clerk/src/fleet/commands/request.ts
@@ -1,8 +1,8 @@
 import { Args, Command } from '@oclif/core';
-import { CommonFlags } from '../../common.js';
+import { CommonFlags } from '../../commonflags.js';
 import { Printer } from '../../printer.js';
-import { CommandTransport } from '../../where.js';
-import { RequestTimeline } from '../requeststory.js';
+import { CommandTransport } from '../../commandtransport.js';
+import { RequestTimeline } from '../requesttimeline.js';
 
 /** The command `clerk request`. */
 export class RequestCommand extends Command {
--- a/packages/clerk/src/fleet/fleet.ts
+++ b/packages/clerk/src/fleet/fleet.ts
@@ -1,23 +1,31 @@
-import { Dice, Intents, Order, Verdicts, type Mark, type Verdict, type WireFault } from '@pumicebarrow/forms';
-import { ControlClient, TraceDesk, Views } from '@pumicebarrow/registry';
-import { IntentDesk, RequestDesk, type DaemonStatus } from '@pumicebarrow/router';
-import { MessagingClient } from './caller.js';
-import { FleetDiscovery } from './census.js';
+import {
+  Random,
+  Configurations,
+  VersionOrder,
+  Verdicts,
+  type VersionStamp,
+  type Verdict,
+  type RequestError,
+} from '@pumicebarrow/forms';
+import { ControlClient, TraceService, Views } from '@pumicebarrow/registry';
+import { ConfigurationPlanHandler, RequestLogHandler, type DaemonStatus } from '@pumicebarrow/router';
+import { MessagingClient } from './messagingclient.js';
+import { FleetDiscovery } from './fleetdiscovery.js';
 import type { Daemon } from './daemon.js';
 import type { FleetState } from './fleetstate.js';
-import { RoutedFleetHealth } from './fleetwellness.js';
+import { RoutedFleetHealth } from './routedfleethealth.js';
 
 type Reply = { verdict: Verdict; [key: string]: unknown };
 const READ_TIMEOUT_MS = 2500;
 const REQUEST_TIMEOUT_MS = 1200;
 const PLAN_TIMEOUT_MS = 9000;
-const FAULT_TEXTS: Record<WireFault, string> = {
+const FAULT_TEXTS: Record<RequestError, string> = {
   unsent: 'nothing listens there',
   lost: 'no reply came',
   wrong: 'no router or control replica replied there',
 };
 const coreUnavailable = (): Reply => ({
-  verdict: Verdicts.not('unready', 'The core does not reply; nothing was read.', 1),
+  verdict: Verdicts.notRun('unready', 'The core does not reply; nothing was read.', 1),
 });
 
 /** Operations on routers and control replicas over the daemon protocol. Only `plan` and `settle` change state. */
@@ -37,8 +45,10 @@
   };
   /** The server list of the head, or else of the daemon with the newest list. */
   const newestServerList = async (daemons: readonly Daemon[]): Promise<Pick<FleetState, 'servers' | 'orders'>> => {
-    const listRank = (d: Daemon): Mark => (d.told?.head ? [Infinity, 0] : (d.told?.list.mark ?? [-1, 0]));
-    const holders = daemons.filter((d) => d.told?.list.mark).sort((a, b) => Order.cmp(listRank(b), listRank(a)));
+    const listRank = (d: Daemon): VersionStamp => (d.told?.head ? [Infinity, 0] : (d.told?.list.mark ?? [-1, 0]));
+    const holders = daemons
+      .filter((d) => d.told?.list.mark)
+      .sort((a, b) => VersionOrder.compare(listRank(b), listRank(a)));
     for (const d of holders) {
       const r = await FleetDiscovery.requestStatus(client.post, { addr: d.addr, who: d.told!.who }, true);
       if (r.ok && r.val.servers) return { servers: r.val.servers, orders: r.val.orders ?? [] };
@@ -54,7 +64,7 @@
       ]);
       const core = coreState && {
         version: coreState.charter?.version ?? 0,
-        routing: Intents.routing(coreState.charter?.body),
+        routing: Configurations.asRouting(coreState.charter?.body),
       };
       const state: FleetState = { core, view: controlClient.view(), daemons, ...serverList };
       return {
@@ -75,7 +85,7 @@
               id,
               'trace.tell',
               { name: docName },
-              TraceDesk.forms.told,
+              TraceService.schemas.reply,
               REQUEST_TIMEOUT_MS,
             ));
           const reply = r?.ok ? r.val : null;
@@ -87,10 +97,10 @@
       const matching = marks.filter(
         (m) => (wantedVersion === null || m[0] === wantedVersion) && (step === null || m[1] === step),
       );
-      const newest = matching.sort(Order.cmp).at(-1);
+      const newest = matching.sort(VersionOrder.compare).at(-1);
       if (!newest)
         return {
-          verdict: Verdicts.not('unknown', `No daemon has seen ${name} ${wantedVersion ?? ''}.`.replace(' .', '.')),
+          verdict: Verdicts.notRun('unknown', `No daemon has seen ${name} ${wantedVersion ?? ''}.`.replace(' .', '.')),
         };
       const configuration = daemons.find((d) => d.told?.configuration?.version === newest[0])?.told?.configuration;
       const title =
@@ -108,13 +118,20 @@
         routers.map(async (d) => {
           const r =
             d.told &&
-            (await client.post.ask(d.addr, d.id, 'request.tell', { id }, RequestDesk.forms.told, REQUEST_TIMEOUT_MS));
+            (await client.post.ask(
+              d.addr,
+              d.id,
+              'request.tell',
+              { id },
+              RequestLogHandler.schemas.response,
+              REQUEST_TIMEOUT_MS,
+            ));
           return { id: d.id, zone: d.zone, reached: r?.ok ?? false, steps: r?.ok ? r.val.steps : [] };
         }),
       );
       if (rows.every((r) => r.steps.length === 0))
         return {
-          verdict: Verdicts.not('unknown', `No router that replied has a record of request ${id}.`),
+          verdict: Verdicts.notRun('unknown', `No router that replied has a record of request ${id}.`),
           daemons: rows,
         };
       return { verdict: Verdicts.ran('read', 'As the routers say.'), request: id, daemons: rows };
@@ -123,23 +140,23 @@
     async plan(text: string): Promise<Reply> {
       if (!controlClient.view()) await controlClient.look();
       const view = controlClient.view();
-      const id = `p-${Dice.word(client.world.chance)}`;
+      const id = `p-${Random.hexId(client.world.random)}`;
       let requestLost = false;
-      for (const m of view ? Views.all(view) : []) {
+      for (const m of view ? Views.allMembers(view) : []) {
         const r = await client.post.ask(
           m.addr,
           m.id,
           'intent.plan',
           { id, text },
-          IntentDesk.forms.told,
+          ConfigurationPlanHandler.schemas.response,
           PLAN_TIMEOUT_MS,
         );
         if (r.ok && r.val.verdict.code !== 'unready') return { ...r.val, plan: id };
         requestLost ||= !r.ok && r.val === 'lost';
       }
       const verdict = requestLost
-        ? Verdicts.maybe('silent', `Plan ${id} may be stored; it takes effect only when it is confirmed.`)
-        : Verdicts.not('unready', 'No control replica could store the plan; nothing was done.', 1);
+        ? Verdicts.maybeRun('silent', `Plan ${id} may be stored; it takes effect only when it is confirmed.`)
+        : Verdicts.notRun('unready', 'No control replica could store the plan; nothing was done.', 1);
       return { verdict, plan: id };
     },
     /** Confirms or drops a stored plan. */
@@ -159,7 +176,7 @@
       const coreState = await controlClient.read(plan, READ_TIMEOUT_MS);
       if (!coreState) return coreUnavailable();
       if (!coreState.plan)
-        return { verdict: Verdicts.not('unknown', `No plan ${plan} is known; only the latest 200 are kept.`) };
+        return { verdict: Verdicts.notRun('unknown', `No plan ${plan} is known; only the latest 200 are kept.`) };
       const { fate, version, base } = coreState.plan;
       return { verdict: Verdicts.ran('read', `Plan ${plan} is ${fate}.`), fate, version: version ?? null, base };
     },
@@ -184,7 +201,7 @@
       if (firstStatuses.length > 0)
         return await operation(createOperations(client, firstStatuses, addresses, addressProblems));
       const reason = addressProblems.join('; ');
-      return { verdict: Verdicts.not('unreached', reason === '' ? 'no address was given' : reason) };
+      return { verdict: Verdicts.notRun('unreached', reason === '' ? 'no address was given' : reason) };
     } finally {
       client.close();
     }
--- a/packages/clerk/src/fleet/census.ts
+++ b/packages/clerk/src/fleet/fleetdiscovery.ts
@@ -1,10 +1,10 @@
-import type { Ident, PostBox, Result, WireFault } from '@pumicebarrow/forms';
-import { StatusDesk, type DaemonStatus } from '@pumicebarrow/router';
+import type { Ident, Messenger, Result, RequestError } from '@pumicebarrow/forms';
+import { StatusHandler, type DaemonStatus } from '@pumicebarrow/router';
 import { Views } from '@pumicebarrow/registry';
 import type { Daemon } from './daemon.js';
 
 type DaemonAddress = { addr: string; who: Ident | null };
-type StatusResult = Result<DaemonStatus, WireFault>;
+type StatusResult = Result<DaemonStatus, RequestError>;
 const REQUEST_TIMEOUT_MS = 1200;
 /** Zone that `Views.idents` gives to members of a view. */
 const CORE_ZONE = 'core';
@@ -18,23 +18,23 @@
  */
 export const FleetDiscovery = {
   /** Requests a daemon's status; `who` is null where only an address is known. */
-  requestStatus: (post: PostBox, daemon: DaemonAddress, includeServers: boolean): Promise<StatusResult> =>
+  requestStatus: (post: Messenger, daemon: DaemonAddress, includeServers: boolean): Promise<StatusResult> =>
     post.ask(
       daemon.addr,
       daemon.who?.id ?? '',
       'status.tell',
       { servers: includeServers },
-      StatusDesk.forms.told,
+      StatusHandler.schemas.response,
       REQUEST_TIMEOUT_MS,
     ),
   /** Starts from the daemons in `first` and follows the members and peers that each reports, transitively. */
-  async discover(post: PostBox, first: readonly DaemonStatus[]): Promise<Daemon[]> {
+  async discover(post: Messenger, first: readonly DaemonStatus[]): Promise<Daemon[]> {
     const daemons = new Map<string, Daemon>();
     const queried = new Set<string>();
     const hasReplied = (id: string): boolean => Boolean(daemons.get(id)?.told);
     const recordStatus = (status: DaemonStatus): Ident[] => {
       daemons.set(status.who.id, toDaemon(status.who, status));
-      return [...Views.idents(status.view), ...status.known];
+      return [...Views.gossipPeers(status.view), ...status.known];
     };
     const notYetQueried = (idents: readonly Ident[]): Ident[] =>
       idents.filter((who) => {
--- a/packages/clerk/src/fleet/caller.ts
+++ b/packages/clerk/src/fleet/messagingclient.ts
@@ -1,22 +1,31 @@
-import { Dice, Logs, Post, RealClock, TcpLines, type Ident, type PostBox, type World } from '@pumicebarrow/forms';
+import {
+  Random,
+  Logs,
+  Messaging,
+  SystemClock,
+  TcpClient,
+  type Ident,
+  type Messenger,
+  type World,
+} from '@pumicebarrow/forms';
 
 /** Placeholder: a daemon identity needs an address, but clerk accepts no connections. */
 const UNUSED_ADDRESS = '127.0.0.1:1';
 
 /** Client of the daemon protocol that is not a daemon: it receives no messages and is a member of no view. */
 export const MessagingClient = {
-  make(): { world: World; post: PostBox; close(): void } {
+  make(): { world: World; post: Messenger; close(): void } {
     const random = { real: () => Math.random() };
-    const tcpClient = TcpLines.make(Logs.quiet());
+    const tcpClient = TcpClient.make(Logs.silent());
     const world: World = {
-      clock: RealClock.make(),
-      chance: random,
-      wire: { ask: tcpClient.ask, tell: tcpClient.tell, hear: () => undefined },
+      clock: SystemClock.make(),
+      random,
+      wire: { ask: tcpClient.ask, tell: tcpClient.tell, onMessage: () => undefined },
       disk: null,
-      log: Logs.quiet,
-      tell: () => undefined,
+      log: Logs.silent,
+      recordEvent: () => undefined,
     };
-    const incarnation = Dice.word(random);
+    const incarnation = Random.hexId(random);
     const self: Ident = {
       id: `clerk-${incarnation}`,
       born: incarnation,
@@ -26,7 +35,7 @@
     };
     return {
       world,
-      post: Post.make(world, () => self),
+      post: Messaging.make(world, () => self),
       close: () => tcpClient.close(),
     };
   },
--- a/packages/clerk/src/fleet/fleetwellness.test.ts
+++ b/packages/clerk/src/fleet/routedfleethealth.test.ts
@@ -4,8 +4,8 @@
 import { expect } from 'chai';
 import type { Daemon } from './daemon.js';
 import type { FleetState } from './fleetstate.js';
-import { RoutedFleetHealth } from './fleetwellness.js';
-import { StatusReport } from './statuslines.js';
+import { RoutedFleetHealth } from './routedfleethealth.js';
+import { StatusReport } from './statusreport.js';
 
 const member = (id: string) => ({ id, born: 'b', addr: '127.0.0.1:1' });
 const view: View = { epoch: 3, voters: ['k1', 'k2', 'k3'].map(member), chain: ['k1', 'k2', 'k3'].map(member) };
--- a/packages/clerk/src/lending/stories.test.ts
+++ b/packages/clerk/src/lending/reports.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
-import { BurstReport } from './burststory.js';
-import { LoanReport } from './loanstory.js';
+import { BurstReport } from './burstreport.js';
+import { LoanReport } from './loanreport.js';
 
 const noGenerations = { waiting: 0, begun: 0, ran: 0, unsure: 0, dropped: 0 };
 const burst = { key: 'b', rule: 'rollout', order: 3, ended: false, gone: false, total: 4, ...noGenerations };
--- a/packages/clerk/src/story.test.ts
+++ b/packages/clerk/src/tracereport.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { TraceReport } from './story.js';
+import { TraceReport } from './tracereport.js';
 
 type Trace = Parameters<typeof TraceReport.formatLines>[0];
 type Mark = [number, number];
--- a/packages/client/src/client.test.ts
+++ b/packages/client/src/client.test.ts
@@ -128,7 +128,7 @@
         delaysMs.push(ms);
         return Promise.resolve();
       };
-      const got = await Client.make([addr], { sleep }).request({ key: 'k', prefix: 'p', part: 'q' });
+      const got = await Client.make([addr], { nap: sleep }).request({ key: 'k', prefix: 'p', part: 'q' });
       expect({ whole: got.whole, attempts, delaysMs }).to.deep.equal(expected);
     });
   }
@@ -163,7 +163,7 @@
     const onConnect = (s: Socket): void => {
       socket = s;
     };
-    const got = await Client.make([addr], { sleep, onConnect }).request(body);
+    const got = await Client.make([addr], { nap: sleep, met: onConnect }).request(body);
     expect({ whole: got.whole, attempts }).to.deep.equal({ whole: true, attempts: [1, 2] });
   });
   it('keeps the attempt number if a daemon can not be reached, and calls the next daemon', async () => {
@@ -172,7 +172,7 @@
       attempts.push(v.attempt);
       answerWhole(res);
     });
-    const got = await Client.make(['127.0.0.1:1', addr], { sleep }).request(body);
+    const got = await Client.make(['127.0.0.1:1', addr], { nap: sleep }).request(body);
     expect({ whole: got.whole, attempts }).to.deep.equal({ whole: true, attempts: [1] });
   });
   it('sends the same pinned owners with each call for a key', async () => {
@@ -183,7 +183,7 @@
       else answerWhole(res);
     });
     // Through the alias of request.
-    await Client.make([addr], { sleep, pin: true }).visit(body);
+    await Client.make([addr], { nap: sleep, pin: true }).visit(body);
     expect(named).to.deep.equal([
       ['e1/a', 'e2/b'],
       ['e1/a', 'e2/b'],
--- a/packages/client/src/client.ts
+++ b/packages/client/src/client.ts
@@ -1,7 +1,7 @@
 import type { Socket } from 'node:net';
 import type { Request, Verdict } from './generated.js';
-import { DaemonClient } from './line.js';
-import type { AttemptResult } from './trying.js';
+import { DaemonClient } from './daemonclient.js';
+import type { AttemptResult } from './attemptresult.js';
 import type { RequestResult } from './requestresult.js';
 
 /** Options of a client. */
@@ -13,9 +13,9 @@
   /** Pins the two owners of each request, so that it runs once even if the network duplicates a call. */
   pin?: boolean;
   /** Replaces the wait between attempts, for tests. */
-  sleep?: (ms: number) => Promise<void>;
+  nap?: (ms: number) => Promise<void>;
   /** Called with each new connection. */
-  onConnect?: (s: Socket) => void;
+  met?: (s: Socket) => void;
 };
 const OWNERS_TIMEOUT_MS = 1000;
 /** Delays used where the reply names none. */
@@ -40,9 +40,9 @@
  */
 export const Client = {
   make(daemons: readonly string[], options: Options = {}) {
-    const daemonClient = DaemonClient.make(options.onConnect);
+    const daemonClient = DaemonClient.make(options.met);
     const maxAttempts = options.tries ?? 4;
-    const sleepFor = options.sleep ?? sleep;
+    const sleepFor = options.nap ?? sleep;
     let nextIndex = 0;
     const nextDaemon = (): string => daemons[nextIndex++ % daemons.length]!;
     const queryOwners = async (): Promise<string[] | null> => {
--- a/packages/client/src/line.ts
+++ b/packages/client/src/daemonclient.ts
@@ -2,7 +2,7 @@
 import { request as httpRequest, Agent, buildConnector } from 'undici';
 import type { Socket } from 'node:net';
 import type { AnswerLine, Request, Verdict } from './generated.js';
-import type { AttemptResult } from './trying.js';
+import type { AttemptResult } from './attemptresult.js';
 
 const MAX_LINE_CHARACTERS = 1024 * 1024;
 const CONNECT_TIMEOUT_MS = 1000;
--- a/packages/client/src/generated.ts
+++ b/packages/client/src/generated.ts
@@ -31,7 +31,7 @@
         code: string;
         why: string;
         /**
-         * seconds until it is worth asking again
+         * seconds to wait before a retry
          */
         after?: number;
         faults?: {
@@ -46,7 +46,7 @@
   code: string;
   why: string;
   /**
-   * seconds until it is worth asking again
+   * seconds to wait before a retry
    */
   after?: number;
   faults?: {
@@ -67,70 +67,70 @@
     {
       name: string;
       /**
-       * how much of a server one request takes, against the others
+       * share of a server that one request takes, relative to the other rules
        */
       weight: number;
       /**
-       * 9 is taken from the queue first
+       * requests of urgency 9 leave the queue first
        */
       urgency: number;
       /**
-       * requests under way at once, per daemon
+       * maximum requests in flight per daemon
        */
       limit: number;
       /**
-       * requests that may wait, per daemon
+       * maximum queued requests per daemon
        */
       waitlist: number;
       /**
-       * ms from arrival to the first piece at the latest
+       * maximum ms from arrival to the first piece of the answer
        */
       deadline: number;
       /**
-       * the longest answer, in pieces
+       * maximum length of an answer, in pieces
        */
       pieces: number;
       /**
-       * the largest prefix and part together
+       * maximum size of prefix and part together
        */
       bytes: number;
       /**
-       * where it is served; everywhere if left out
+       * zones where it is served; all zones if omitted
        */
       sites?: string[];
     },
     ...{
       name: string;
       /**
-       * how much of a server one request takes, against the others
+       * share of a server that one request takes, relative to the other rules
        */
       weight: number;
       /**
-       * 9 is taken from the queue first
+       * requests of urgency 9 leave the queue first
        */
       urgency: number;
       /**
-       * requests under way at once, per daemon
+       * maximum requests in flight per daemon
        */
       limit: number;
       /**
-       * requests that may wait, per daemon
+       * maximum queued requests per daemon
        */
       waitlist: number;
       /**
-       * ms from arrival to the first piece at the latest
+       * maximum ms from arrival to the first piece of the answer
        */
       deadline: number;
       /**
-       * the longest answer, in pieces
+       * maximum length of an answer, in pieces
        */
       pieces: number;
       /**
-       * the largest prefix and part together
+       * maximum size of prefix and part together
        */
       bytes: number;
       /**
-       * where it is served; everywhere if left out
+       * zones where it is served; all zones if omitted
        */
       sites?: string[];
     }[]
@@ -158,7 +158,7 @@
   ];
   casting: {
     /**
-     * servers that read at the start
+     * number of servers assigned to prefill initially
      */
     prefill: number;
     floor: {
@@ -166,11 +166,11 @@
       decode: number;
     };
     /**
-     * whether parts follow the mix
+     * whether the assignment follows the mix of prefill and decode work
      */
     swing: boolean;
     /**
-     * ms between two swings at the least
+     * minimum ms between two changes of the assignment
      */
     calm: number;
   };
@@ -183,11 +183,11 @@
     rules: [string, ...string[]];
     most: {
       /**
-       * share of a part's slots that is lent at the most
+       * maximum share of a stage's slots that is lent
        */
       prefill: number;
       /**
-       * share of a part's slots that is lent at the most
+       * maximum share of a stage's slots that is lent
        */
       decode: number;
     };
@@ -202,7 +202,7 @@
       decode: number;
     };
     /**
-     * ms after which a loan must have been asked for again
+     * ms after which a loan expires unless it was renewed
      */
     length: number;
   };
--- a/packages/counter/src/takes.ts
+++ b/packages/counter/src/answercollector.ts
@@ -1,28 +1,32 @@
 import type { Verdict } from '@pumicebarrow/forms';
-import type { CallerSink } from './callersink.js';
+import type { ResponseWriter } from './responsewriter.js';
 
 /** The longest answer text that the control replicas store. */
 const MAX_KEPT_TEXT_CHARS = 4096;
-type CollectedAnswer = { completion: { count: number; digest: string } | null; text: () => string; sink: CallerSink };
+type CollectedAnswer = {
+  completion: { count: number; digest: string } | null;
+  text: () => string;
+  writer: ResponseWriter;
+};
 type Outcome = { to: 'ran' | 'unrun' | 'unsure'; text?: string; count?: number; digest?: string; why?: string };
 
 /** Collects the answer of one burst request and derives the outcome to record. */
-export const Takes = {
+export const AnswerCollector = {
   make(): CollectedAnswer {
     const pieces: string[] = [];
     const answer: CollectedAnswer = {
       completion: null,
       text: () => pieces.join(''),
-      sink: {
-        piece: (_n, text) => {
+      writer: {
+        writePiece: (_n, text) => {
           pieces.push(text);
         },
         end(count, digest) {
           answer.completion = { count, digest };
         },
-        cut: () => undefined,
+        abort: () => undefined,
         refuse: () => undefined,
-        gone: () => false,
+        isClientGone: () => false,
       },
     };
     return answer;
--- a/packages/counter/src/lentrun.ts
+++ b/packages/counter/src/borrowedrequestrunner.ts
@@ -1,24 +1,24 @@
-import type { Charter, Rule, Verdict } from '@pumicebarrow/forms';
-import { Admission } from './admission.js';
+import type { FleetConfiguration, NamedRoute, Verdict } from '@pumicebarrow/forms';
+import { AdmissionControl } from './admissioncontrol.js';
 import type { Borrower } from './lending/borrower.js';
-import { LentChoice } from './lending/lentchoice.js';
-import type { Loads } from './loads.js';
-import { TurnGranter } from './pump.js';
-import { RequestRunner } from './run.js';
-import type { RunTools } from './runtools.js';
+import { BorrowedServerPicker } from './lending/borrowedserverpicker.js';
+import type { LoadTracker } from './loadtracker.js';
+import { TurnGranter } from './turngranter.js';
+import { RequestRunner } from './requestrunner.js';
+import type { RequestRunnerDependencies } from './requestrunnerdependencies.js';
 import { Queue } from './queue.js';
 
 type Dependencies = Pick<
-  RunTools,
+  RequestRunnerDependencies,
   'world' | 'choice' | 'town' | 'hails' | 'witness' | 'back' | 'sighted' | 'version' | 'sure'
 > & {
   site: string;
-  charter: () => Charter | null;
+  charter: () => FleetConfiguration | null;
   open: () => Verdict | null;
   young: () => boolean;
   serving: () => boolean;
   borrower: ReturnType<typeof Borrower.make>;
-  loads: ReturnType<typeof Loads.make>;
+  loads: ReturnType<typeof LoadTracker.make>;
 };
 
 /**
@@ -27,13 +27,13 @@
  * bounded by the lease on its server and has the lowest urgency there; there are no retries, a request that meets a
  * fault goes back to its burst.
  */
-export const LentRun = {
+export const BorrowedRequestRunner = {
   make(deps: Dependencies) {
     const { clock } = deps.world;
     const queue = Queue.make(clock),
       decodeQueue = Queue.make(clock);
-    const serverPicker = LentChoice.make({ live: deps.choice, loads: deps.loads, borrower: deps.borrower });
-    const admission = Admission.make({ ...deps, queue, choice: serverPicker });
+    const serverPicker = BorrowedServerPicker.make({ live: deps.choice, loads: deps.loads, borrower: deps.borrower });
+    const admission = AdmissionControl.make({ ...deps, queue, choice: serverPicker });
     const grantTurns = TurnGranter.make({
       clock,
       queue,
@@ -50,7 +50,7 @@
         return lease && deps.hails.bound(s, Math.min(until, lease.until));
       },
     };
-    const retryBudget = { request: (): void => undefined, take: (): boolean => false, level: (): number => 0 };
+    const retryBudget = { recordRequest: (): void => undefined, tryTake: (): boolean => false, level: (): number => 0 };
     const demand = { read: 0, write: 0 };
     const queues = { queue, decodeQueue, choice: serverPicker, loads: deps.loads };
     const request = RequestRunner.make({
@@ -65,13 +65,13 @@
     });
     return {
       request,
-      pump: grantTurns,
-      under: admission.under,
+      grantTurns,
+      inFlight: admission.inFlight,
       /**
        * Slots that requests of a route may use at once: those borrowed at decode servers, or 0 if the borrowed prefill
        * servers cannot take one request.
        */
-      room: (route: Rule): number => {
+      slotsFor: (route: NamedRoute): number => {
         const borrowedSlots = (part: 'prefill' | 'decode'): number =>
           serverPicker.usable(part).reduce((n, s) => n + deps.borrower.slots(s.id, s.born), 0);
         return borrowedSlots('prefill') >= route.weight ? borrowedSlots('decode') : 0;
--- a/packages/counter/src/request.ts
+++ b/packages/counter/src/clientrequest.ts
@@ -4,7 +4,7 @@
  * A client's request. Invariants: one key stands for one body; a retry under the same key has the next attempt number.
  * With `owners`, no two calls of one attempt can both run, whichever daemons they go to; without, see docs/design.md.
  */
-export const Request = Type.Object(
+export const ClientRequest = Type.Object(
   {
     key: Type.String({ minLength: 1, maxLength: 120, pattern: '^[\\w.:-]+$' }),
     attempt: Type.Integer({ minimum: 1, maximum: 1000 }),
@@ -21,4 +21,4 @@
   },
   { additionalProperties: false },
 );
-export type Request = Static<typeof Request>;
+export type ClientRequest = Static<typeof ClientRequest>;
--- a/packages/counter/src/newest.test.ts
+++ b/packages/counter/src/configurationcatchup.test.ts
@@ -1,6 +1,6 @@
 import type { Doc, Ident } from '@pumicebarrow/forms';
 import { expect } from 'chai';
-import { Newest } from './newest.js';
+import { ConfigurationCatchUp } from './configurationcatchup.js';
 
 const self: Ident = { id: 'e1', born: 'b', addr: '127.0.0.1:1', site: 's1', role: 'counter' };
 
@@ -11,9 +11,9 @@
   ] as const)
     it(title, async () => {
       let suspensions = 0;
-      const newest = Newest.make({
+      const newest = ConfigurationCatchUp.make({
         world: { clock: { mono: () => 0 } },
-        line: {
+        controlClient: {
           read: () => {
             suspensions += suspensionsDuringRead;
             return Promise.resolve({ ok: true, view: null, charter: null, plan: null });
@@ -22,8 +22,8 @@
         self: () => self,
         known: () => [self],
         slept: () => suspensions,
-      } as unknown as Parameters<typeof Newest.make>[0]);
-      expect(await newest.sure()).to.equal(expected);
+      } as unknown as Parameters<typeof ConfigurationCatchUp.make>[0]);
+      expect(await newest.confirmNewest()).to.equal(expected);
     });
 
   const peer = (id: string): Ident => ({ ...self, id, addr: `${id}:1` });
@@ -37,9 +37,9 @@
     it(title, async () => {
       let stored: Doc | null = null;
       let now = 500;
-      const newest = Newest.make({
+      const newest = ConfigurationCatchUp.make({
         world: { clock: { mono: () => now } },
-        line: { read: () => Promise.resolve(null) },
+        controlClient: { read: () => Promise.resolve(null) },
         post: {
           ask: (addr: string) => {
             const version = replies[Number(addr[1])];
@@ -53,13 +53,13 @@
             stored = doc;
           },
         },
-        shelf: { get: () => stored },
+        recordStore: { get: () => stored },
         self: () => self,
         known: () => [peer('p0'), peer('p1')],
         slept: () => 0,
-      } as unknown as Parameters<typeof Newest.make>[0]);
+      } as unknown as Parameters<typeof ConfigurationCatchUp.make>[0]);
       now += age;
-      expect(await newest.sure()).to.equal(expected !== null);
+      expect(await newest.confirmNewest()).to.equal(expected !== null);
       expect((stored as Doc | null)?.mark[0] ?? null).to.equal(expected);
     });
 });
--- a/packages/counter/src/counting.ts
+++ b/packages/counter/src/counterdaemon.ts
@@ -1,4 +1,4 @@
 import type { Counter } from './counter.js';
 
 /** A running counter daemon. */
-export type Counting = ReturnType<typeof Counter.make>;
+export type CounterDaemon = ReturnType<typeof Counter.make>;
--- a/packages/counter/src/front.test.ts
+++ b/packages/counter/src/counterhttpserver.test.ts
@@ -1,9 +1,9 @@
-import { Meters, Verdicts, type World } from '@pumicebarrow/forms';
+import { MetricsRegistry, Verdicts, type World } from '@pumicebarrow/forms';
 import { expect } from 'chai';
 import { connect, type Socket } from 'node:net';
-import type { CallerSink } from './callersink.js';
-import type { Counting } from './counting.js';
-import { Front } from './front.js';
+import type { ResponseWriter } from './responsewriter.js';
+import type { CounterDaemon } from './counterdaemon.js';
+import { CounterHttpServer } from './counterhttpserver.js';
 
 const validRequest = { key: 'k', attempt: 1, rule: 'verdict', prefix: 'p', part: 'q' };
 const request = JSON.stringify(validRequest);
@@ -25,19 +25,26 @@
   });
 
 /** Starts the HTTP server of a daemon with a stub daemon that handles each request with `handleRequest`. */
-const startServer = async (handleRequest: (sink: CallerSink) => Promise<void>) => {
+const startServer = async (handleRequest: (writer: ResponseWriter) => Promise<void>) => {
   const daemon = {
-    request: async (_v: unknown, sink: CallerSink) => {
-      await handleRequest(sink);
+    request: async (_v: unknown, writer: ResponseWriter) => {
+      await handleRequest(writer);
       return Verdicts.ran('ran', '');
     },
-  } as unknown as Counting;
+  } as unknown as CounterDaemon;
   for (let port = 21_000 + Math.floor(Math.random() * 8000); ; port++) {
     try {
-      const front = await Front.make({} as World, daemon, false, `127.0.0.1:${port}`, Meters.make(), {
-        maxBufferedBytes: 1024 * 1024,
-        receiveTimeoutMs: 300,
-      });
+      const front = await CounterHttpServer.make(
+        {} as World,
+        daemon,
+        false,
+        `127.0.0.1:${port}`,
+        MetricsRegistry.make(),
+        {
+          maxBufferedBytes: 1024 * 1024,
+          receiveTimeoutMs: 300,
+        },
+      );
       return { front, dial: (): Socket => connect(port, '127.0.0.1').on('error', () => undefined) };
     } catch (e) {
       if ((e as { code?: string }).code !== 'EADDRINUSE') throw e;
@@ -49,14 +56,14 @@
   it('that does not read is disconnected, with little buffered for it', async () => {
     let sent = 0;
     let gone = false;
-    const { front, dial } = await startServer(async (sink) => {
+    const { front, dial } = await startServer(async (writer) => {
       const text = 'x'.repeat(65536);
-      for (let n = 1; n <= 2000 && !sink.gone(); n++) {
-        sink.piece(n, text);
+      for (let n = 1; n <= 2000 && !writer.isClientGone(); n++) {
+        writer.writePiece(n, text);
         sent += text.length;
         await tick();
       }
-      gone = sink.gone();
+      gone = writer.isClientGone();
     });
     const socket = dial();
     socket.pause();
@@ -70,10 +77,10 @@
   it('that disconnects is detected as gone', async () => {
     let gone = false;
     let started = false;
-    const { front, dial } = await startServer(async (sink) => {
-      sink.piece(1, 'x');
+    const { front, dial } = await startServer(async (writer) => {
+      writer.writePiece(1, 'x');
       started = true;
-      while (!sink.gone()) await tick();
+      while (!writer.isClientGone()) await tick();
       gone = true;
     });
     const socket = dial();
--- a/packages/counter/src/countersettings.ts
+++ b/packages/counter/src/countersettings.ts
@@ -1,4 +1,4 @@
-import type { Tunes } from '@pumicebarrow/purge';
+import type { GossipSettings } from '@pumicebarrow/purge';
 
 /** Start-up settings of a counter daemon. `control` enables the operator API; `tunes` holds the gossip settings. */
 export type CounterSettings = {
@@ -7,5 +7,5 @@
   site: string;
   seeds: readonly string[];
   control: boolean;
-  tunes: Tunes;
+  tunes: GossipSettings;
 };
--- a/packages/counter/src/writing.test.ts
+++ b/packages/counter/src/decoderunner.test.ts
@@ -1,22 +1,31 @@
-import { Err, type Rule, type World } from '@pumicebarrow/forms';
+import { Err, type NamedRoute, type World } from '@pumicebarrow/forms';
 import { expect } from 'chai';
 import { interpret } from 'robot3';
-import { Loads } from './loads.js';
-import { PrefillRunner } from './reading.js';
-import type { RunTools } from './runtools.js';
-import { RetryPolicy } from './tries.js';
-import type { Trip } from './trip.js';
-import { RequestLife } from './requestlife.js';
-import { DecodeRunner } from './writing.js';
+import { LoadTracker } from './loadtracker.js';
+import { PrefillRunner } from './prefillrunner.js';
+import type { RequestRunnerDependencies } from './requestrunnerdependencies.js';
+import { RetryPolicy } from './retrypolicy.js';
+import type { InFlightRequest } from './inflightrequest.js';
+import { RequestStateMachine } from './requeststatemachine.js';
+import { DecodeRunner } from './decoderunner.js';
 
-const rule = { name: 'r', weight: 1, urgency: 1, limit: 9, waitlist: 9, deadline: 900, pieces: 2, bytes: 99 } as Rule;
+const route = {
+  name: 'r',
+  weight: 1,
+  urgency: 1,
+  limit: 9,
+  waitlist: 9,
+  deadline: 900,
+  pieces: 2,
+  bytes: 99,
+} as NamedRoute;
 const servers = ['m1', 'm2', 'm3'].map((id) => ({ id, born: 'x', addr: id, site: 's', mark: 'serving' as const }));
 
 /** Dependencies in which each server has capacity for one request and never replies. */
 const setUp = () => {
-  const loads = Loads.make();
+  const loads = LoadTracker.make();
   const calledAddresses: string[] = [];
-  const firstIdle = () => servers.filter((s) => loads.at(s.id) === 0)[0] ?? null;
+  const firstIdle = () => servers.filter((s) => loads.weightAt(s.id) === 0)[0] ?? null;
   const jobs: { urgency?: number }[] = [];
   const recordCall = (addr: string, job: { urgency?: number }) => {
     calledAddresses.push(addr);
@@ -24,33 +33,39 @@
     return new Promise<never>(() => undefined);
   };
   const deps = {
-    world: { clock: { mono: () => 0, after: () => () => undefined }, tell: () => undefined } as unknown as World,
-    choice: { decode: firstIdle, prefill: firstIdle, usable: () => servers, roomy: () => true },
+    world: { clock: { mono: () => 0, after: () => () => undefined }, recordEvent: () => undefined } as unknown as World,
+    choice: { decode: firstIdle, prefill: firstIdle, usable: () => servers, hasRoom: () => true },
     ...{
       loads,
-      town: { good: () => ({}), until: () => 900 },
+      town: { findServing: () => ({}), sendDeadline: () => 900 },
       demand: { read: 0, write: 0 },
       grantTurns: () => undefined,
     },
     decodeQueue: { enter: () => ({ turn: Promise.resolve(true), leave: () => undefined }) },
     hails: { bound: () => ({ born: 'x', by: 900 }) },
     back: { decode: recordCall, prefill: recordCall },
-    ...{ retryBudget: { take: () => false }, sighted: () => undefined, version: () => 1, sure: () => true },
-  } as unknown as RunTools;
-  const inFlightRequest = (i: number): Trip => ({
-    ...{ v: { key: `k${i}`, attempt: 1, prefix: '', part: '' }, rule, due: 900, prefix: '', avoid: new Set<string>() },
-    sink: {
-      piece: () => undefined,
+    ...{ retryBudget: { tryTake: () => false }, sighted: () => undefined, version: () => 1, sure: () => true },
+  } as unknown as RequestRunnerDependencies;
+  const inFlightRequest = (i: number): InFlightRequest => ({
+    ...{
+      request: { key: `k${i}`, attempt: 1, prefix: '', part: '' },
+      route,
+      deadline: 900,
+      prefix: '',
+      excludedServers: new Set<string>(),
+    },
+    writer: {
+      writePiece: () => undefined,
       end: () => undefined,
-      cut: () => undefined,
+      abort: () => undefined,
       refuse: () => undefined,
-      gone: () => false,
+      isClientGone: () => false,
     },
-    settled: () => undefined,
-    life: interpret(RequestLife, () => undefined),
+    releaseReservation: () => undefined,
+    stateMachine: interpret(RequestStateMachine, () => undefined),
     handle: { id: 'h', key: `k${i}`, attempt: 1, server: 'm1', born: 'x', addr: 'm1', digest: '' },
-    reader: servers[0]!,
-    why: Err('x') as never,
+    prefillServer: servers[0]!,
+    failure: Err('x') as never,
   });
   return { t: deps, jobs, tries: RetryPolicy.make(deps), trip: inFlightRequest, met: calledAddresses };
 };
--- a/packages/counter/src/piece.ts
+++ b/packages/counter/src/decodestreamline.ts
@@ -3,7 +3,7 @@
 const strict = { additionalProperties: false } as const;
 
 /** One line of a decode server's stream: a numbered piece of the answer, or the end with piece count and digest. */
-export const Piece = Type.Union([
+export const DecodeStreamLine = Type.Union([
   Type.Object(
     {
       key: Type.String(),
@@ -26,4 +26,4 @@
     strict,
   ),
 ]);
-export type Piece = Static<typeof Piece>;
+export type DecodeStreamLine = Static<typeof DecodeStreamLine>;
--- a/packages/counter/src/shuns.ts
+++ b/packages/counter/src/ejections.ts
@@ -1,4 +1,4 @@
-import { Fading, type Clock } from '@pumicebarrow/forms';
+import { ExpiringMap, type Clock } from '@pumicebarrow/forms';
 
 type Ejection = { until: number; count: number };
 const MAX_EJECTION_MS = 8000;
@@ -12,9 +12,9 @@
  * Invariants: an ejection applies to one incarnation of a server, the next one starts clean; incarnations long past are
  * forgotten.
  */
-export const Shuns = {
+export const Ejections = {
   make(clock: Clock) {
-    const ejections = Fading.make<Ejection>(clock.mono, MAX_ENTRIES);
+    const ejections = ExpiringMap.make<Ejection>(clock.mono, MAX_ENTRIES);
     const keyOf = (id: string, incarnation: string): string => `${id}/${incarnation}`;
     return {
       add(id: string, incarnation: string, ms: number): void {
--- a/packages/counter/src/bound.ts
+++ b/packages/counter/src/executionbound.ts
@@ -4,7 +4,7 @@
  * Limits when a server may start to execute a request: only in the named incarnation of the server, and only up to a
  * time on that server's own clock. The server rejects it afterwards, whoever sent it and however long it was buffered.
  */
-export const Bound = Type.Object(
+export const ExecutionBound = Type.Object(
   {
     /** Incarnation of the server. */
     born: Type.String(),
@@ -13,4 +13,4 @@
   },
   { additionalProperties: false },
 );
-export type Bound = Static<typeof Bound>;
+export type ExecutionBound = Static<typeof ExecutionBound>;
--- a/packages/counter/src/checkin.test.ts
+++ b/packages/counter/src/headcheckin.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { Checkin } from './checkin.js';
+import { HeadCheckin } from './headcheckin.js';
 
 type ScheduledCall = { at: number; fn: () => void };
 
@@ -17,22 +17,22 @@
       timers = timers.filter((x) => x !== timer);
     };
   };
-  const checkin = Checkin.make({
+  const checkin = HeadCheckin.make({
     clock: { mono: () => now, wall: () => now, after },
-    line: {
+    controlClient: {
       checkin: () => Promise.resolve(headVersion === null ? null : { version: headVersion, roster: null, load: {} }),
     },
     sheet: { version: () => version },
-    shelf: { sum: () => 's' },
+    recordStore: { digest: () => 's' },
     newest: {
-      tail: () => {
+      readTail: () => {
         const replied = tailReplies[reads.push(now) - 1] ?? true;
         if (replied) version = Math.max(version, headVersion ?? 8);
         return Promise.resolve(replied);
       },
     },
     demand: () => ({ read: 0, write: 0 }),
-  } as unknown as Parameters<typeof Checkin.make>[0]);
+  } as unknown as Parameters<typeof HeadCheckin.make>[0]);
   return {
     checkin,
     reads,
@@ -60,7 +60,7 @@
   };
 };
 
-describe('HeadCheckIn', () => {
+describe('HeadCheckin', () => {
   it('reads from the tail when the time given to gossip is over, not at a later check-in', async () => {
     const s = setup([true]);
     await s.checkin.tick();
--- a/packages/counter/src/checkin.ts
+++ b/packages/counter/src/headcheckin.ts
@@ -1,18 +1,18 @@
 import type { Clock, Ident } from '@pumicebarrow/forms';
-import type { Holding } from '@pumicebarrow/purge';
+import type { RecordStore } from '@pumicebarrow/purge';
 import type { ControlClient } from '@pumicebarrow/registry';
-import type { Newest } from './newest.js';
-import type { SheetView } from './sheetview.js';
+import type { ConfigurationCatchUp } from './configurationcatchup.js';
+import type { FleetRecordsView } from './fleetrecordsview.js';
 
 /** Weight of requests that want or use a server, by stage: `read` is prefill, `write` is decode. */
 type Load = { read: number; write: number };
 type Dependencies = {
   clock: Clock;
-  line: ControlClient;
+  controlClient: ControlClient;
   /** Configuration and stage assignments. */
-  sheet: SheetView;
-  shelf: Holding;
-  newest: ReturnType<typeof Newest.make>;
+  sheet: FleetRecordsView;
+  recordStore: RecordStore;
+  newest: ReturnType<typeof ConfigurationCatchUp.make>;
   demand: () => Load;
 };
 /** Time that gossip is given to bring a configuration version that the head already has. */
@@ -25,7 +25,7 @@
  * are live and the load of the fleet. Invariant: a daemon that has been behind for GOSSIP_LAG_MS reads the
  * configuration from the tail at that moment, not at a later check-in.
  */
-export const Checkin = {
+export const HeadCheckin = {
   make(deps: Dependencies) {
     let roster: readonly Ident[] = [];
     let load: Load = { read: 0, write: 0 };
@@ -36,7 +36,7 @@
       if (reading || caughtUp()) return;
       const wanted = missing;
       reading = true;
-      if ((await deps.newest.tail(300)) && missing === wanted) missing = null;
+      if ((await deps.newest.readTail(300)) && missing === wanted) missing = null;
       reading = false;
     };
     return {
@@ -45,9 +45,9 @@
       /** Load of the whole fleet, as of the last check-in. */
       load: (): Load => load,
       async tick(): Promise<void> {
-        const reply = await deps.line.checkin({
+        const reply = await deps.controlClient.checkin({
           version: deps.sheet.version(),
-          sum: deps.shelf.sum(),
+          sum: deps.recordStore.digest(),
           load: deps.demand(),
         });
         if (!reply) return;
--- a/packages/counter/src/httpback.test.ts
+++ b/packages/counter/src/httpmodelserverclient.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import { createServer, type Server, type Socket } from 'node:net';
 import type { AddressInfo } from 'node:net';
-import { HttpBack } from './httpback.js';
+import { HttpModelServerClient } from './httpmodelserverclient.js';
 
 const handle = { id: 'h', key: 'k', attempt: 1, server: 'm1', born: 'one', addr: '127.0.0.1:1', digest: 'd' };
 const job = { key: 'k', attempt: 1, born: 'one', by: 1e9, handle, pieces: 2, weight: 1 };
@@ -102,7 +102,7 @@
   for (const [name, behave, expected] of cases) {
     it(`that ${name} gives '${expected.ran} ${expected.code}'`, async () => {
       const server = await startRawServer(behave),
-        client = HttpBack.make();
+        client = HttpModelServerClient.make();
       let pieces = 0;
       const result = await client.decode(server.addr, job, 400, () => {
         pieces++;
@@ -121,7 +121,7 @@
   it('that refuses the connection gives proof that nothing ran', async () => {
     const server = await startRawServer(() => undefined);
     await server.close();
-    const client = HttpBack.make(),
+    const client = HttpModelServerClient.make(),
       result = await client.decode(server.addr, job, 400, () => true);
     expect(result.val).to.include({ ran: 'no', code: 'unreached' });
     await client.close();
@@ -132,7 +132,7 @@
       const server = await startRawServer(() => {
         last?.destroy(Object.assign(new Error(code), { code }));
       });
-      const client = HttpBack.make((socket) => {
+      const client = HttpModelServerClient.make((socket) => {
         last = socket;
       });
       const result = await client.decode(server.addr, job, 2000, () => true);
@@ -152,10 +152,10 @@
       x.on('drain', more);
       more();
     });
-    const client = HttpBack.make((x) => {
+    const client = HttpModelServerClient.make((x) => {
         socket = x;
       }),
-      result = await client.state(server.addr, 5000);
+      result = await client.fetchState(server.addr, 5000);
     expect(result.val).to.include({ ran: 'maybe', code: 'bad' });
     expect(socket!.bytesRead).to.be.within(1024 * 1024, 4 * 1024 * 1024);
     await client.close();
@@ -163,7 +163,7 @@
   });
   it('is sent 300 requests at once: none waits in the client for another to finish', async () => {
     const server = await startRawServer(() => undefined),
-      client = HttpBack.make();
+      client = HttpModelServerClient.make();
     const calls = Array.from({ length: 300 }, () => client.decode(server.addr, job, 5000, () => true));
     for (let i = 0; i < 2000 && server.met() < 300; i++)
       await new Promise((done) => {
--- a/packages/counter/src/httpback.ts
+++ b/packages/counter/src/httpmodelserverclient.ts
@@ -1,14 +1,14 @@
-import { Check, Err, Ok, type Result } from '@pumicebarrow/forms';
+import { SchemaCheck, Err, Ok, type Result } from '@pumicebarrow/forms';
 import type { Socket } from 'node:net';
 import type { TSchema, Static } from 'typebox';
 import { Agent, request as call } from 'undici';
-import type { Back } from './back.js';
-import type { BackFault } from './backfault.js';
-import { BackState } from './backstate.js';
+import type { ModelServerClient } from './modelserverclient.js';
+import type { ModelServerFault } from './modelserverfault.js';
+import { ModelServerState } from './modelserverstate.js';
 import { BodyReader } from './bodyreader.js';
 import { Dialer } from './dialer.js';
-import { Handle } from './handle.js';
-import { Piece } from './piece.js';
+import { KvCacheHandle } from './kvcachehandle.js';
+import { DecodeStreamLine } from './decodestreamline.js';
 
 const MAX_REPLY_BYTES = 1024 * 1024;
 /** Limit for one line of a decode stream, and for the body of a rejected decode request. */
@@ -24,11 +24,11 @@
 ];
 const errorCode = (error: unknown): string =>
   (error as { code?: string }).code ?? String((error as Error).message ?? error);
-const brokenStream = (reason: string): Result<never, BackFault> =>
+const brokenStream = (reason: string): Result<never, ModelServerFault> =>
   Err({ ran: 'maybe', code: 'broken', dark: false, why: reason });
 
 /** Fault for a transport error. Only a failure to connect proves that the server received nothing. */
-const transportFault = (error: unknown, connectFailed: boolean): BackFault => {
+const transportFault = (error: unknown, connectFailed: boolean): ModelServerFault => {
   const code = errorCode(error);
   return {
     ran: connectFailed ? 'no' : 'maybe',
@@ -38,17 +38,17 @@
   };
 };
 /** Fault for a status other than 200. A server that rejects a job says why by a known code and has not run the job. */
-const rejectionFault = (body: unknown): BackFault => {
+const rejectionFault = (body: unknown): ModelServerFault => {
   const code = (body as { code?: string } | null)?.code;
   const rejectionCode = REJECTION_CODES.find((c) => c === code);
-  if (rejectionCode) return { ran: 'no', code: rejectionCode, dark: false, why: `rejected the job: ${rejectionCode}` };
-  return { ran: 'maybe', code: 'broken', dark: false, why: 'sent an error reply without a known code' };
+  if (rejectionCode) return { ran: 'no', code: rejectionCode, dark: false, why: `turned it away: ${rejectionCode}` };
+  return { ran: 'maybe', code: 'broken', dark: false, why: 'gave a reply that makes no sense' };
 };
 /**
  * Splits the stream into lines and passes each one on, parsed. `push` returns null, or the reason why the stream cannot
  * continue.
  */
-const lineSplitter = (onLine: (line: Piece) => boolean) => {
+const lineSplitter = (onLine: (line: DecodeStreamLine) => boolean) => {
   let buffered = '';
   const parseLine = (text: string): string | null => {
     let value: unknown = null;
@@ -57,8 +57,8 @@
     } catch {
       /* `value` stays null and fails the schema check below */
     }
-    if (!Check.is(Piece, value)) return 'streamed a line that does not match the schema';
-    return onLine(value as Piece) ? null : 'the receiver ended the stream';
+    if (!SchemaCheck.matches(DecodeStreamLine, value)) return 'streamed a line that is no piece';
+    return onLine(value as DecodeStreamLine) ? null : 'the stream was given up';
   };
   return {
     remainder: (): string => buffered,
@@ -69,7 +69,7 @@
         if (reason) return reason;
         buffered = buffered.slice(lineEnd + 1);
       }
-      return buffered.length > MAX_LINE_BYTES ? 'streamed a line that is too long' : null;
+      return buffered.length > MAX_LINE_BYTES ? 'streamed a line too long' : null;
     },
   };
 };
@@ -79,18 +79,18 @@
  * occupies, so what was checked before a send still holds when the request leaves; replies, and lines of a stream, are
  * buffered only up to a fixed size.
  */
-export const HttpBack = {
-  make(onConnect: (s: Socket) => void = () => undefined): Back & { close(): Promise<void> } {
+export const HttpModelServerClient = {
+  make(onConnect: (s: Socket) => void = () => undefined): ModelServerClient & { close(): Promise<void> } {
     const dialer = Dialer.make(onConnect);
     const agent = new Agent({ connect: dialer.connect, keepAliveTimeout: 4000 });
-    const faultOf = (error: unknown): BackFault => transportFault(error, dialer.isConnectError(error));
+    const faultOf = (error: unknown): ModelServerFault => transportFault(error, dialer.isConnectError(error));
     const requestJson = async <S extends TSchema>(
       method: 'GET' | 'POST',
       url: string,
       body: unknown,
       timeoutMs: number,
       schema: S,
-    ): Promise<Result<NoInfer<Static<S>>, BackFault>> => {
+    ): Promise<Result<NoInfer<Static<S>>, ModelServerFault>> => {
       try {
         const response = await call(url, {
           method,
@@ -104,18 +104,20 @@
         });
         const replyBody = await BodyReader.json(response.body, MAX_REPLY_BYTES);
         if (response.statusCode !== 200) return Err(rejectionFault(replyBody.ok ? replyBody.val : null));
-        const parsed = replyBody.ok ? Check.parse(schema, replyBody.val) : replyBody;
+        const parsed = replyBody.ok ? SchemaCheck.parse(schema, replyBody.val) : replyBody;
         return parsed.ok
           ? parsed
-          : Err({ ran: 'maybe', code: 'bad', dark: false, why: 'sent a reply that does not match the schema' });
+          : Err({ ran: 'maybe', code: 'bad', dark: false, why: 'gave a reply of the wrong shape' });
       } catch (error) {
         return Err(faultOf(error));
       }
     };
     return {
-      prefill: (addr, job, timeoutMs) => requestJson('POST', `http://${addr}/prefill`, job, timeoutMs, Handle),
-      order: (addr, order, timeoutMs) => requestJson('POST', `http://${addr}/order`, order, timeoutMs, BackState),
-      state: (addr, timeoutMs) => requestJson('GET', `http://${addr}/state`, undefined, timeoutMs, BackState),
+      prefill: (addr, job, timeoutMs) => requestJson('POST', `http://${addr}/prefill`, job, timeoutMs, KvCacheHandle),
+      setStage: (addr, order, timeoutMs) =>
+        requestJson('POST', `http://${addr}/order`, order, timeoutMs, ModelServerState),
+      fetchState: (addr, timeoutMs) =>
+        requestJson('GET', `http://${addr}/state`, undefined, timeoutMs, ModelServerState),
       async decode(addr, job, timeoutMs, onLine) {
         const abortController = new AbortController();
         try {
@@ -140,7 +142,7 @@
               return brokenStream(reason);
             }
           }
-          return splitter.remainder() === '' ? Ok(null) : brokenStream('ended the stream in the middle of a line');
+          return splitter.remainder() === '' ? Ok(null) : brokenStream('ended inside a line');
         } catch (error) {
           return Err(faultOf(error));
         }
--- a/packages/counter/src/townlist.ts
+++ b/packages/counter/src/inventorylist.ts
@@ -2,7 +2,7 @@
 import { Type, type Static } from 'typebox';
 
 /** The platform's list of model servers. A server that is not on it is gone. */
-export const TownList = Type.Object(
+export const InventoryList = Type.Object(
   {
     servers: Type.Array(
       Type.Object(
@@ -22,4 +22,4 @@
   },
   { additionalProperties: false },
 );
-export type TownList = Static<typeof TownList>;
+export type InventoryList = Static<typeof InventoryList>;
--- a/packages/counter/src/townwatch.test.ts
+++ b/packages/counter/src/inventorywatcher.test.ts
@@ -1,9 +1,9 @@
-import { Err, Ok, type Ident, type PostBox, type Result, type World } from '@pumicebarrow/forms';
+import { Err, Ok, type Ident, type Messenger, type Result, type World } from '@pumicebarrow/forms';
 import { expect } from 'chai';
-import type { TownList } from './townlist.js';
-import { TownWatch } from './townwatch.js';
+import type { InventoryList } from './inventorylist.js';
+import { InventoryWatcher } from './inventorywatcher.js';
 
-const list: TownList = {
+const list: InventoryList = {
   servers: [
     { id: 'm1', addr: '10.0.0.9:1', site: 's', born: 'one', mark: 'serving' },
     { id: 'm2', addr: '10.0.0.9:2', site: 's', born: 'one', mark: 'draining' },
@@ -11,9 +11,9 @@
 };
 const peer: Ident = { id: 'e2', born: 'b', addr: '10.0.0.2:1', site: 's', role: 'counter' };
 type Case = {
-  poll: Result<TownList, string>;
+  poll: Result<InventoryList, string>;
   pollMs?: number;
-  peerReply?: { list: TownList | null; age: number };
+  peerReply?: { list: InventoryList | null; age: number };
   readAfterMs: number;
   usable: boolean;
 };
@@ -46,10 +46,10 @@
       let now = 5000;
       const world = {
         clock: { mono: () => now, wall: () => 0, after: () => () => undefined },
-        chance: { real: () => 0 },
+        random: { real: () => 0 },
       } as unknown as World;
-      const post = { on: () => undefined, ask: () => Promise.resolve(Ok(c.peerReply)) } as unknown as PostBox;
-      const watcher = TownWatch.make(
+      const post = { on: () => undefined, ask: () => Promise.resolve(Ok(c.peerReply)) } as unknown as Messenger;
+      const watcher = InventoryWatcher.make(
         world,
         post,
         {
@@ -63,11 +63,11 @@
       watcher.start();
       for (let i = 0; i < 20; i++) await Promise.resolve();
       now += c.readAfterMs;
-      expect(watcher.good('m1', 'one') !== null).to.equal(c.usable);
-      expect(watcher.good('m1', 'two')).to.equal(null);
-      expect(watcher.good('m2', 'one')).to.equal(null);
-      expect(watcher.good('m9')).to.equal(null);
-      expect(watcher.young()).to.equal(c.usable);
+      expect(watcher.findServing('m1', 'one') !== null).to.equal(c.usable);
+      expect(watcher.findServing('m1', 'two')).to.equal(null);
+      expect(watcher.findServing('m2', 'one')).to.equal(null);
+      expect(watcher.findServing('m9')).to.equal(null);
+      expect(watcher.isFresh()).to.equal(c.usable);
       watcher.stop();
     });
   }
--- a/packages/counter/src/townwatch.ts
+++ b/packages/counter/src/inventorywatcher.ts
@@ -1,8 +1,8 @@
-import { Dice, Timer, type Ident, type PostBox, type World } from '@pumicebarrow/forms';
+import { Random, Timer, type Ident, type Messenger, type World } from '@pumicebarrow/forms';
 import { Type } from 'typebox';
-import type { Listed } from './listed.js';
-import type { Town } from './town.js';
-import { TownList } from './townlist.js';
+import type { ListedServer } from './listedserver.js';
+import type { InventorySource } from './inventorysource.js';
+import { InventoryList } from './inventorylist.js';
 
 const MAX_AGE_MS = 2500;
 const POLL_INTERVAL_MS = 400;
@@ -10,7 +10,7 @@
 const SEND_WINDOW_MS = 3000;
 /** Reply of a peer: its list, if recent enough, and how old that is in ms. */
 const PeerList = Type.Object(
-  { list: Type.Union([TownList, Type.Null()]), age: Type.Number({ minimum: 0 }) },
+  { list: Type.Union([InventoryList, Type.Null()]), age: Type.Number({ minimum: 0 }) },
   { additionalProperties: false },
 );
 
@@ -19,22 +19,22 @@
  * answer. Invariants: a list's age is counted from before it was requested, in monotonic ms, and is passed on with it;
  * a list older than 2.5 s is not used.
  */
-export const TownWatch = {
+export const InventoryWatcher = {
   make(
     world: World,
-    post: PostBox,
-    source: Town,
+    post: Messenger,
+    source: InventorySource,
     peers: () => readonly Ident[],
     checkSuspension: () => void = () => undefined,
   ) {
-    let list: TownList | null = null;
+    let list: InventoryList | null = null;
     let listedAt = -Infinity;
     let invalidatedAt = -Infinity;
-    let serversById: ReadonlyMap<string, Listed> = new Map();
-    const listeners: ((servers: readonly Listed[]) => void)[] = [];
+    let serversById: ReadonlyMap<string, ListedServer> = new Map();
+    const listeners: ((servers: readonly ListedServer[]) => void)[] = [];
     let stop: () => void = () => undefined;
     const age = (): number => world.clock.mono() - listedAt;
-    const accept = (next: TownList, at: number): void => {
+    const accept = (next: InventoryList, at: number): void => {
       checkSuspension();
       if (at <= listedAt || at < invalidatedAt) return;
       list = next;
@@ -49,7 +49,7 @@
         accept(reply.val, requestedAt);
         return;
       }
-      const peer = Dice.one(world.chance, peers());
+      const peer = Random.pick(world.random, peers());
       if (!peer) return;
       const peerAskedAt = world.clock.mono();
       const peerReply = await post.ask(peer.addr, peer.id, 'town.list', {}, PeerList, POLL_INTERVAL_MS);
@@ -65,15 +65,15 @@
         stop();
       },
       /** Calls the listener with each new list. */
-      heed(listener: (servers: readonly Listed[]) => void): void {
+      onChange(listener: (servers: readonly ListedServer[]) => void): void {
         listeners.push(listener);
       },
-      young(): boolean {
+      isFresh(): boolean {
         checkSuspension();
         return age() < MAX_AGE_MS;
       },
       /** Discards the list and requests another: after a suspension of unknown length its age is unknown. */
-      drop(): void {
+      invalidate(): void {
         listedAt = -Infinity;
         invalidatedAt = world.clock.mono();
         void poll();
@@ -81,14 +81,14 @@
       /** Age of the list in ms. */
       age,
       /** The instant after which no request sent by this list may start at a server. */
-      until: (): number => listedAt + SEND_WINDOW_MS,
+      sendDeadline: (): number => listedAt + SEND_WINDOW_MS,
       /** All servers listed; none if the list is too old. */
-      all(): readonly Listed[] {
+      all(): readonly ListedServer[] {
         checkSuspension();
         return age() < MAX_AGE_MS ? (list?.servers ?? []) : [];
       },
       /** The server, if a list that is recent at this instant shows it, in this incarnation, as serving; else null. */
-      good(id: string, incarnation?: string): Listed | null {
+      findServing(id: string, incarnation?: string): ListedServer | null {
         checkSuspension();
         if (age() >= MAX_AGE_MS) return null;
         const server = serversById.get(id);
--- a/packages/counter/src/handle.ts
+++ b/packages/counter/src/kvcachehandle.ts
@@ -6,7 +6,7 @@
  * attempt, this incarnation (`born`) of the server, and exactly this prefix and part (`digest`); this is checked by the
  * daemon and by the decode server.
  */
-export const Handle = Type.Object(
+export const KvCacheHandle = Type.Object(
   {
     id: Type.String(),
     key: Type.String(),
@@ -18,4 +18,4 @@
   },
   { additionalProperties: false },
 );
-export type Handle = Static<typeof Handle>;
+export type KvCacheHandle = Static<typeof KvCacheHandle>;
--- a/packages/counter/src/duty.test.ts
+++ b/packages/counter/src/leasemanager.test.ts
@@ -1,7 +1,7 @@
 import { Verdicts, type Ident, type World } from '@pumicebarrow/forms';
 import type { ControlClient } from '@pumicebarrow/registry';
 import { expect } from 'chai';
-import { Duty } from './duty.js';
+import { LeaseManager } from './leasemanager.js';
 
 const self: Ident = { id: 'e1', born: 'b', addr: '10.0.0.1:1', site: 's', role: 'counter' };
 /** A reply of the control replicas to a lease request, time that passes, or an expected fencing token. */
@@ -82,7 +82,7 @@
       let reply: Step = ['held'];
       const world = {
         clock: { mono: () => now, wall: () => 0, after: () => () => undefined },
-        tell: () => undefined,
+        recordEvent: () => undefined,
       } as unknown as World;
       const controlClient = {
         write: () =>
@@ -90,13 +90,15 @@
             reply[0] === 'given'
               ? { ruling: { verdict: Verdicts.ran('claimed', ''), fence: reply[1] }, term: 2000, sent: now }
               : {
-                  ruling: { verdict: reply[0] === 'held' ? Verdicts.not('held', '') : Verdicts.maybe('unsure', '') },
+                  ruling: {
+                    verdict: reply[0] === 'held' ? Verdicts.notRun('held', '') : Verdicts.maybeRun('unsure', ''),
+                  },
                   term: 0,
                   sent: now,
                 },
           ),
       } as unknown as ControlClient;
-      const leases = Duty.make(
+      const leases = LeaseManager.make(
         world,
         controlClient,
         () => self,
@@ -104,7 +106,7 @@
       );
       for (const step of steps) {
         if (step[0] === 'wait') now += step[1];
-        else if (step[0] === 'drop') leases.drop();
+        else if (step[0] === 'drop') leases.forgetAll();
         else if (step[0] === 'fence') expect(leases.fence('row:m1'), JSON.stringify(step)).to.equal(step[1]);
         else {
           reply = step;
--- a/packages/counter/src/duty.ts
+++ b/packages/counter/src/leasemanager.ts
@@ -1,5 +1,5 @@
 import { type Ident, type World } from '@pumicebarrow/forms';
-import { Holder } from './holder.js';
+import { DesignatedHolder } from './designatedholder.js';
 import { CoreTimings, type ControlClient } from '@pumicebarrow/registry';
 
 /** A lease as held here; `ready` is when the takeover delay ends. */
@@ -10,7 +10,7 @@
  * requested; a fencing token that is new to this daemon is used only after the takeover delay, unless it is the first
  * ever issued for that name; without a valid lease nothing is ordered.
  */
-export const Duty = {
+export const LeaseManager = {
   make(
     world: World,
     controlClient: ControlClient,
@@ -22,7 +22,7 @@
     const renewing = new Set<string>();
     let resets = 0;
     const now = (): number => world.clock.mono();
-    const isDesignated = (name: string): boolean => Holder.of(name, roster())?.id === self().id;
+    const isDesignated = (name: string): boolean => DesignatedHolder.of(name, roster())?.id === self().id;
     const renew = async (name: string): Promise<void> => {
       if (renewing.has(name)) return;
       renewing.add(name);
@@ -34,8 +34,9 @@
       const fence = reply.ruling.fence;
       if (reply.ruling.verdict.ran !== 'yes' || fence === undefined) return;
       const previous = leases.get(name);
-      const ready = previous?.fence === fence ? previous.ready : fence === 1 ? now() : now() + CoreTimings.quiet;
-      if (previous?.fence !== fence) world.tell({ what: 'claim', name, fence });
+      const ready =
+        previous?.fence === fence ? previous.ready : fence === 1 ? now() : now() + CoreTimings.takeoverDelayMs;
+      if (previous?.fence !== fence) world.recordEvent({ what: 'claim', name, fence });
       leases.set(name, { fence, until: reply.sent + reply.term, ready });
     };
     return {
@@ -43,7 +44,7 @@
       tick(names: readonly string[]): void {
         for (const name of names) {
           const lease = leases.get(name);
-          if (isDesignated(name) && (!lease || lease.until - now() < CoreTimings.lease * 0.7)) void renew(name);
+          if (isDesignated(name) && (!lease || lease.until - now() < CoreTimings.namedLeaseMs * 0.7)) void renew(name);
         }
       },
       /** The fencing token under which to act at this instant; null if there is none. */
@@ -56,7 +57,7 @@
       expiresAt: (name: string): number => leases.get(name)?.until ?? -Infinity,
       names: (): string[] => [...leases].filter(([, lease]) => lease.until > now()).map(([name]) => name),
       /** Forgets all leases, also those being requested: after a suspension their remaining time is unknown. */
-      drop(): void {
+      forgetAll(): void {
         leases.clear();
         resets++;
       },
--- a/packages/counter/src/ledger.ts
+++ b/packages/counter/src/ledger.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '@pumicebarrow/forms';
 import type { Static } from 'typebox';
-import type { LedgerEntry } from './entry.js';
-import type { LedgerMessages } from './ledgerwords.js';
+import type { LedgerEntry } from './ledgerentry.js';
+import type { LedgerMessages } from './ledgermessages.js';
 
 type OpenReply = Static<typeof LedgerMessages.openReply>['say'];
 const RETENTION_MS = 15 * 60_000;
--- a/packages/counter/src/witness.test.ts
+++ b/packages/counter/src/ledgerclient.test.ts
@@ -1,12 +1,12 @@
-import { Err, Logs, Lot, Ok, type Ident, type PostBox, type World } from '@pumicebarrow/forms';
+import { Err, Logs, RendezvousHash, Ok, type Ident, type Messenger, type World } from '@pumicebarrow/forms';
 import { expect } from 'chai';
 import { Ledger } from './ledger.js';
-import { LedgerClient } from './witness.js';
+import { LedgerClient } from './ledgerclient.js';
 
 const clock = { mono: () => 0, wall: () => 0, after: () => () => undefined };
 const counterIdent = (id: string): Ident => ({ id, born: 'b', addr: '10.0.0.1:1', site: 's', role: 'counter' });
 const roster = ['e1', 'e2', 'e3', 'e4'].map(counterIdent);
-const rankedIds = Lot.rank('key:k', roster, (r) => r.id).map((r) => r.id);
+const rankedIds = RendezvousHash.rank('key:k', roster, (r) => r.id).map((r) => r.id);
 const request = (attempt: number) => ({ key: 'k', attempt, prefix: 'p', part: 'q' });
 /** What happens to requests to an owner: delivered, not sent, lost, or delivered with the reply lost. */
 type Delivery = 'fine' | 'unsent' | 'lost' | 'heardlost';
@@ -14,7 +14,7 @@
 const setUp = () => {
   const ledgers = new Map(roster.map((r) => [r.id, Ledger.make(clock)]));
   const deliveries = new Map<string, Delivery>();
-  const post = (by: string): PostBox =>
+  const post = (by: string): Messenger =>
     ({
       on: () => undefined,
       close: () => undefined,
@@ -35,8 +35,8 @@
             : { ok: ledger.step(message.key, message.attempt, message.digest, message.to, by) };
         return Promise.resolve(delivery === 'heardlost' ? Err('lost') : Ok(reply));
       },
-    }) as unknown as PostBox;
-  const world = { clock, log: Logs.quiet } as unknown as World;
+    }) as unknown as Messenger;
+  const world = { clock, log: Logs.silent } as unknown as World;
   return {
     daemon: (by: string) => LedgerClient.make(world, post(by), () => roster),
     fate: (rank: number, delivery: Delivery) => deliveries.set(rankedIds[rank]!, delivery),
--- a/packages/counter/src/witness.ts
+++ b/packages/counter/src/ledgerclient.ts
@@ -1,17 +1,17 @@
 import {
-  Fading,
+  ExpiringMap,
   Hash,
-  Lot,
+  RendezvousHash,
   Timer,
   Verdicts,
   type Ident,
-  type PostBox,
+  type Messenger,
   type Verdict,
   type World,
 } from '@pumicebarrow/forms';
 import type { Static } from 'typebox';
-import { LedgerMessages } from './ledgerwords.js';
-import type { Request } from './request.js';
+import { LedgerMessages } from './ledgermessages.js';
+import type { ClientRequest } from './clientrequest.js';
 
 type OpenReply = Static<typeof LedgerMessages.openReply>['say'] | 'lost' | 'unsent';
 type Transition = 'sent' | 'closed' | 'ran';
@@ -26,12 +26,12 @@
  * always one whose 'sent' mark the sender needs acknowledged.
  */
 export const LedgerClient = {
-  make(world: World, post: PostBox, roster: () => readonly Ident[], knownDaemons: () => readonly Ident[] = roster) {
+  make(world: World, post: Messenger, roster: () => readonly Ident[], knownDaemons: () => readonly Ident[] = roster) {
     const { clock } = world;
     /** Daemons (id/incarnation) that recently did not reply; not chosen as owners for a while. */
-    const suspected = Fading.make<true>(clock.mono, MAX_SUSPECTED_OWNERS);
+    const suspected = ExpiringMap.make<true>(clock.mono, MAX_SUSPECTED_OWNERS);
     const rankByKey = (key: string): Ident[] =>
-      Lot.rank(
+      RendezvousHash.rank(
         `key:${key}`,
         roster().filter((r) => r.role === 'counter' && !suspected.get(`${r.id}/${r.born}`)),
         (r) => r.id,
@@ -40,11 +40,16 @@
      * Candidates for owning a request, the preferred ones first: the two incarnations that the request names, or else
      * the live daemons in the order of rendezvous hashing.
      */
-    const rankOwners = (request: Request): Ident[] =>
+    const rankOwners = (request: ClientRequest): Ident[] =>
       request.owners
         ? knownDaemons().filter((r) => request.owners!.includes(`${r.id}/${r.born}`))
         : rankByKey(request.key);
-    const askOpen = async (owner: Ident, request: Request, digest: string, proven: boolean): Promise<OpenReply> => {
+    const askOpen = async (
+      owner: Ident,
+      request: ClientRequest,
+      digest: string,
+      proven: boolean,
+    ): Promise<OpenReply> => {
       const r = await post.ask(
         owner.addr,
         owner.id,
@@ -57,7 +62,7 @@
       suspected.set(`${owner.id}/${owner.born}`, true, SUSPICION_MS);
       return r.val === 'lost' ? 'lost' : 'unsent';
     };
-    const askStep = async (owner: Ident, request: Request, digest: string, to: Transition): Promise<boolean> => {
+    const askStep = async (owner: Ident, request: ClientRequest, digest: string, to: Transition): Promise<boolean> => {
       const r = await post.ask(
         owner.addr,
         owner.id,
@@ -70,27 +75,27 @@
     };
     const stepAll = async (
       owners: readonly Ident[],
-      request: Request,
+      request: ClientRequest,
       digest: string,
       to: Transition,
     ): Promise<boolean> =>
       (await Promise.all(owners.map((owner) => askStep(owner, request, digest, to)))).every((x) => x);
-    const digestOf = (request: Request): string =>
-      Hash.text(`${request.rule ?? ''}\n${request.prefix.length}\n${request.prefix}${request.part}`);
+    const digestOf = (request: ClientRequest): string =>
+      Hash.ofText(`${request.rule ?? ''}\n${request.prefix.length}\n${request.prefix}${request.part}`);
 
     const rejectionFor = (replies: readonly OpenReply[]): Verdict | null => {
       const has = (reply: OpenReply): boolean => replies.includes(reply);
-      if (has('other')) return Verdicts.not('otherbody', 'This key was already used with another body.');
-      if (has('ran')) return Verdicts.ran('ran', 'An earlier attempt of this request ran.');
-      if (has('sent')) return Verdicts.maybe('mayhaverun', 'An earlier attempt of this request may have run.');
-      if (has('twin')) return Verdicts.maybe('twin', 'This attempt, or a later one, is already recorded.');
-      if (has('closed')) return Verdicts.not('closed', 'This attempt is closed; use the next attempt number.', 0);
-      if (has('lost')) return Verdicts.not('noledger', 'A daemon that records requests did not reply.', 1);
+      if (has('other')) return Verdicts.notRun('otherbody', 'This key was used with another body.');
+      if (has('ran')) return Verdicts.ran('ran', 'An earlier try of this request ran.');
+      if (has('sent')) return Verdicts.maybeRun('mayhaverun', 'An earlier try of this request may have run.');
+      if (has('twin')) return Verdicts.maybeRun('twin', 'This attempt, or a later one, is known already.');
+      if (has('closed')) return Verdicts.notRun('closed', 'This attempt is closed; use the next number.', 0);
+      if (has('lost')) return Verdicts.notRun('noledger', 'A daemon that records requests did not reply.', 1);
       return null;
     };
     return {
       /** Opens the attempt at two owners, or gives the verdict with which the request is rejected. */
-      async open(request: Request): Promise<{ rejection: Verdict | null; owners: Ident[]; digest: string }> {
+      async open(request: ClientRequest): Promise<{ rejection: Verdict | null; owners: Ident[]; digest: string }> {
         const digest = digestOf(request),
           candidates = rankOwners(request);
         const askedOwners = candidates.slice(0, request.attempt > 1 ? 3 : 2);
@@ -104,7 +109,7 @@
         if (earlyRejection) return reject(earlyRejection);
         if (request.attempt > 1) {
           if (!replies.includes('ok'))
-            return reject(Verdicts.maybe('unproven', 'Nothing proves that the earlier attempt did not run.'));
+            return reject(Verdicts.maybeRun('unproven', 'Nothing here proves that the earlier try did not run.'));
           for (const [i, owner] of askedOwners.entries())
             if (replies[i] === 'unknown') replies[i] = await askOpen(owner, request, digest, true);
         }
@@ -116,18 +121,18 @@
         const lateRejection = rejectionFor(replies);
         if (lateRejection) return reject(lateRejection);
         if (openedOwners().length < 2)
-          return reject(Verdicts.not('noledger', 'Too few daemons are reachable to record the request.', 1));
+          return reject(Verdicts.notRun('noledger', 'Too few daemons can be reached to record the request.', 1));
         return { rejection: null, owners: openedOwners(), digest };
       },
-      markSent: (request: Request, owners: readonly Ident[], digest: string): Promise<boolean> =>
+      markSent: (request: ClientRequest, owners: readonly Ident[], digest: string): Promise<boolean> =>
         stepAll(owners, request, digest, 'sent'),
-      markRan: (request: Request, owners: readonly Ident[], digest: string): Promise<boolean> =>
+      markRan: (request: ClientRequest, owners: readonly Ident[], digest: string): Promise<boolean> =>
         stepAll(owners, request, digest, 'ran'),
-      close: (request: Request, owners: readonly Ident[], digest: string): Promise<boolean> =>
+      close: (request: ClientRequest, owners: readonly Ident[], digest: string): Promise<boolean> =>
         stepAll(owners, request, digest, 'closed'),
       /** Closes a request refused at admission, as proof for its next attempt. Delays the outcome by 150 ms at most. */
-      async closeRefused(request: Request): Promise<void> {
-        await Timer.within(
+      async closeRefused(request: ClientRequest): Promise<void> {
+        await Timer.withTimeout(
           clock,
           150,
           stepAll(rankOwners(request).slice(0, 2), request, digestOf(request), 'closed'),
--- a/packages/counter/src/ledgerdesk.ts
+++ b/packages/counter/src/ledgerhandler.ts
@@ -1,6 +1,6 @@
-import type { Ident, PostBox } from '@pumicebarrow/forms';
+import type { Ident, Messenger } from '@pumicebarrow/forms';
 import type { Ledger } from './ledger.js';
-import { LedgerMessages } from './ledgerwords.js';
+import { LedgerMessages } from './ledgermessages.js';
 
 const senderId = (sender: Ident): string => `${sender.id}/${sender.born}`;
 
@@ -9,7 +9,7 @@
  * is not recorded.
  */
 export const LedgerHandler = {
-  make(post: PostBox, ledger: ReturnType<typeof Ledger.make>, self: () => Ident): void {
+  make(post: Messenger, ledger: ReturnType<typeof Ledger.make>, self: () => Ident): void {
     post.on('ledger.open', LedgerMessages.open, (message, from) => {
       if (message.life !== undefined && message.life !== self().born) return { say: 'unknown' };
       return { say: ledger.open(message.key, message.attempt, message.digest, message.proven, senderId(from)) };
--- a/packages/counter/src/lending/borrower.test.ts
+++ b/packages/counter/src/lending/borrower.test.ts
@@ -1,4 +1,4 @@
-import { Err, Ok, type Ident, type PostBox, type World } from '@pumicebarrow/forms';
+import { Err, Ok, type Ident, type Messenger, type World } from '@pumicebarrow/forms';
 import { expect } from 'chai';
 import { Borrower } from './borrower.js';
 
@@ -19,13 +19,13 @@
       state.onAsk();
       return Promise.resolve(state.reply ? Ok(state.reply) : Err('lost'));
     },
-  } as unknown as PostBox;
+  } as unknown as Messenger;
   const assignment = { server: 'm1', born: 'x', part: 'decode', stage: 'serving', by: 'e9' };
   const borrower = Borrower.make({
     world: { clock: { mono: () => now } } as unknown as World,
     post,
-    sheet: { rows: () => new Map([['m1', { row: assignment, stamp: [1, 0] }]]) } as never,
-    town: { good: () => ({}) } as never,
+    sheet: { assignments: () => new Map([['m1', { assignment, stamp: [1, 0] }]]) } as never,
+    town: { findServing: () => ({}) } as never,
     roster: () => [lender],
     runningWeight: () => 0,
     checkSuspension: () => undefined,
--- a/packages/counter/src/lending/borrower.ts
+++ b/packages/counter/src/lending/borrower.ts
@@ -1,16 +1,16 @@
-import { type Ident, type PostBox, type World } from '@pumicebarrow/forms';
-import { Holder } from '../holder.js';
-import type { SheetView } from '../sheetview.js';
-import type { TownView } from '../townview.js';
-import { LoanWords } from './loanwords.js';
+import { type Ident, type Messenger, type World } from '@pumicebarrow/forms';
+import { DesignatedHolder } from '../designatedholder.js';
+import type { FleetRecordsView } from '../fleetrecordsview.js';
+import type { InventoryView } from '../inventoryview.js';
+import { LoanMessages } from './loanmessages.js';
 
 type Dependencies = {
   world: World;
-  post: PostBox;
+  post: Messenger;
   /** Configuration and stage assignments. */
-  sheet: SheetView;
+  sheet: FleetRecordsView;
   /** Backend inventory. */
-  town: TownView;
+  town: InventoryView;
   roster: () => readonly Ident[];
   /** Weight of the borrowed requests that run at a server. */
   runningWeight: (server: string) => number;
@@ -47,7 +47,7 @@
       leases = remaining;
       return true;
     };
-    const lenderOf = (server: string): Ident | null => Holder.of(`row:${server}`, deps.roster());
+    const lenderOf = (server: string): Ident | null => DesignatedHolder.of(`row:${server}`, deps.roster());
     const lease = (server: string, incarnation: string): Lease | null => {
       deps.checkSuspension();
       const held = leases.get(server);
@@ -65,7 +65,7 @@
         lender.id,
         'loan.ask',
         body,
-        LoanWords.askReply,
+        LoanMessages.askReply,
         REQUEST_TIMEOUT_MS,
       );
       requesting.delete(server);
@@ -85,7 +85,7 @@
       const lender = lenderOf(server);
       if (!remove(server) || !lender) return;
       const body = { server, running: deps.runningWeight(server) };
-      void deps.post.ask(lender.addr, lender.id, 'loan.give', body, LoanWords.giveReply, REQUEST_TIMEOUT_MS);
+      void deps.post.ask(lender.addr, lender.id, 'loan.give', body, LoanMessages.giveReply, REQUEST_TIMEOUT_MS);
     };
     const recalled = (server: string): boolean => {
       cooldownUntil.set(server, now() + RECALL_COOLDOWN_MS);
@@ -112,11 +112,11 @@
           for (const server of leases.keys()) giveBack(server);
           return;
         }
-        for (const { row } of deps.sheet.rows().values()) {
+        for (const { assignment: row } of deps.sheet.assignments().values()) {
           const held = leases.get(row.server);
           if (
             row.stage !== 'serving' ||
-            !deps.town.good(row.server, row.born) ||
+            !deps.town.findServing(row.server, row.born) ||
             (cooldownUntil.get(row.server) ?? 0) > now()
           )
             continue;
--- a/packages/counter/src/lending/runner.test.ts
+++ b/packages/counter/src/lending/burstrunner.test.ts
@@ -1,15 +1,15 @@
-import { Verdicts, type Charter, type Verdict, type World } from '@pumicebarrow/forms';
-import { Apply, BurstSummary, Shards, type CoreState } from '@pumicebarrow/registry';
+import { Verdicts, type FleetConfiguration, type Verdict, type World } from '@pumicebarrow/forms';
+import { CoreStateMachine, BurstSummary, BurstShards, type CoreState } from '@pumicebarrow/registry';
 import { expect } from 'chai';
-import type { CallerSink } from '../callersink.js';
-import type { Request } from '../request.js';
-import { Runner } from './runner.js';
+import type { ResponseWriter } from '../responsewriter.js';
+import type { ClientRequest } from '../clientrequest.js';
+import { BurstRunner } from './burstrunner.js';
 
 const rollout = { name: 'rollout', urgency: 0, weight: 1, limit: 9, deadline: 900, pieces: 9, bytes: 900 };
-const configuration = { rules: [rollout], lending: { rules: ['rollout'] } } as unknown as Charter;
-type SentRequest = { request: Request; writer: CallerSink; done: (verdict: Verdict) => void };
+const configuration = { rules: [rollout], lending: { rules: ['rollout'] } } as unknown as FleetConfiguration;
+type SentRequest = { request: ClientRequest; writer: ResponseWriter; done: (verdict: Verdict) => void };
 const completed = Verdicts.ran('ran', 'x');
-const notRun = Verdicts.not('late', 'x');
+const notRun = Verdicts.notRun('late', 'x');
 
 /**
  * A runner in front of the core's real state machine. `replyOverride` replaces the verdict of the next write's reply,
@@ -17,16 +17,16 @@
  */
 const setup = (samples = 4) => {
   let now = 0;
-  let coreState: CoreState = Apply.empty;
-  const write = (command: Parameters<typeof Apply.one>[1]): Verdict => {
-    const result = Apply.one(coreState, command);
+  let coreState: CoreState = CoreStateMachine.emptyState;
+  const write = (command: Parameters<typeof CoreStateMachine.apply>[1]): Verdict => {
+    const result = CoreStateMachine.apply(coreState, command);
     coreState = result.state;
     return result.ruling.verdict;
   };
   const begin = (key: string): Verdict =>
     write({ do: 'begin', spec: { key, rule: 'rollout', prompts: [{ prefix: 'p', part: key }], samples, repeats: 0 } });
   const takeLeases = (daemon: string): void => {
-    for (const name of Shards.names) write({ do: 'claim', name, id: daemon, born: 'x' });
+    for (const name of BurstShards.leaseNames) write({ do: 'claim', name, id: daemon, born: 'x' });
   };
   takeLeases('e1');
   const state = {
@@ -38,10 +38,10 @@
   };
   const sent: SentRequest[] = [];
   const timers: (() => void)[] = [];
-  const runner = Runner.make({
+  const runner = BurstRunner.make({
     world: {
       clock: { mono: () => now, after: (_ms: number, fn: () => void) => timers.push(fn) },
-      tell: () => undefined,
+      recordEvent: () => undefined,
     } as unknown as World,
     controlClient: {
       bursts: (ask: { key?: string }) =>
@@ -53,7 +53,7 @@
                 burst: coreState.bursts?.find((b) => b.spec.key === ask.key) ?? null,
               },
         ),
-      write: (command: Parameters<typeof Apply.one>[1]) => {
+      write: (command: Parameters<typeof CoreStateMachine.apply>[1]) => {
         if (state.dropSettles && command.do === 'settle') return new Promise(() => undefined);
         const verdict = write(command),
           replyOverride = state.replyOverride;
@@ -81,7 +81,7 @@
     },
     async finish(i: number, verdict: Verdict, text?: string): Promise<void> {
       if (text !== undefined) {
-        sent[i]!.writer.piece(1, text);
+        sent[i]!.writer.writePiece(1, text);
         sent[i]!.writer.end(1, 'd');
       }
       sent[i]!.done(verdict);
@@ -172,7 +172,7 @@
   it('sends a generation whose recording was not confirmed only once it reads that it was recorded', async () => {
     const s = setup(1);
     s.begin('a');
-    s.state.replyOverride = Verdicts.maybe('unsure', 'x');
+    s.state.replyOverride = Verdicts.maybeRun('unsure', 'x');
     await s.read();
     expect(s.keys()).to.deep.equal([]);
     s.wait(400);
@@ -185,7 +185,7 @@
     s.write({ do: 'mark', id: 'a', index: 0, mark: 1, turn: 1, fence: 1 });
     await s.read();
     expect(s.keys()).to.deep.equal(['a.0.1/2']);
-    await s.finish(0, Verdicts.maybe('unproven', 'x'));
+    await s.finish(0, Verdicts.maybeRun('unproven', 'x'));
     expect(s.states()).to.equal('unsure');
     expect(s.runner.need()).to.equal(null);
   });
--- a/packages/counter/src/lending/runner.ts
+++ b/packages/counter/src/lending/burstrunner.ts
@@ -1,19 +1,19 @@
-import { Timer, type Charter, type Rule, type Verdict, type World } from '@pumicebarrow/forms';
-import { Shards, type Burst, type ControlClient, type Generation } from '@pumicebarrow/registry';
-import type { CallerSink } from '../callersink.js';
-import type { Duties } from '../duties.js';
-import type { Request } from '../request.js';
-import { Takes } from '../takes.js';
+import { Timer, type FleetConfiguration, type NamedRoute, type Verdict, type World } from '@pumicebarrow/forms';
+import { BurstShards, type Burst, type ControlClient, type Generation } from '@pumicebarrow/registry';
+import type { ResponseWriter } from '../responsewriter.js';
+import type { DaemonLeases } from '../daemonleases.js';
+import type { ClientRequest } from '../clientrequest.js';
+import { AnswerCollector } from '../answercollector.js';
 
 type Dependencies = {
   world: World;
   controlClient: ControlClient;
   /** Named leases held by this daemon. */
-  duty: Duties;
-  configuration: () => Charter | null;
+  duty: DaemonLeases;
+  configuration: () => FleetConfiguration | null;
   /** Total weight of a route's generations that may be in progress at once. */
-  capacity: (route: Rule) => number;
-  run: (request: Request, writer: CallerSink) => Promise<Verdict>;
+  capacity: (route: NamedRoute) => number;
+  run: (request: ClientRequest, writer: ResponseWriter) => Promise<Verdict>;
 };
 /** A generation that is waiting or was begun. */
 type OpenGeneration = { burst: Burst; index: number; generation: Generation };
@@ -31,7 +31,7 @@
  * daemon does not start a generation again that is in progress; each generation ends in one result, reported to the
  * core until it is accepted.
  */
-export const Runner = {
+export const BurstRunner = {
   make(deps: Dependencies) {
     let bursts: readonly Burst[] = [];
     /** Ids of generations whose state was read after this daemon last had them in progress. */
@@ -45,7 +45,7 @@
     let reading = false;
     let stopped = false;
     const now = (): number => deps.world.clock.mono();
-    const routeOf = (burst: Burst): Rule | null => {
+    const routeOf = (burst: Burst): NamedRoute | null => {
       const configuration = deps.configuration();
       return configuration?.lending?.rules.includes(burst.spec.rule)
         ? (configuration.rules.find((r) => r.name === burst.spec.rule) ?? null)
@@ -64,7 +64,7 @@
     const reportResult = async (
       open: OpenGeneration,
       record: SendRecord,
-      outcome: ReturnType<typeof Takes.outcome>,
+      outcome: ReturnType<typeof AnswerCollector.outcome>,
     ): Promise<void> => {
       const base = {
         do: 'settle' as const,
@@ -77,25 +77,25 @@
         const { verdict } = (await deps.controlClient.write({ ...base, ...outcome }, WRITE_TIMEOUT_MS)).ruling;
         if (verdict.ran === 'yes' || (verdict.ran === 'no' && verdict.code !== 'unready' && verdict.code !== 'full'))
           return;
-        await Timer.nap(deps.world.clock, SETTLE_RETRY_MS);
+        await Timer.sleep(deps.world.clock, SETTLE_RETRY_MS);
       }
     };
-    const send = async (open: OpenGeneration, route: Rule, record: SendRecord): Promise<void> => {
+    const send = async (open: OpenGeneration, route: NamedRoute, record: SendRecord): Promise<void> => {
       const { spec } = open.burst,
         prompt = spec.prompts[Math.floor(open.index / spec.samples)]!;
-      const take = Takes.make();
-      const request: Request = {
+      const take = AnswerCollector.make();
+      const request: ClientRequest = {
         key: `${idOf(open)}.${record.mark}`,
         attempt: record.turn,
         rule: route.name,
         ...prompt,
       };
-      const outcome = Takes.outcome(await deps.run(request, take.sink), take);
+      const outcome = AnswerCollector.outcome(await deps.run(request, take.writer), take);
       if (outcome.to === 'unrun') {
         pausedUntil = now() + BACKOFF_MS;
         returned.add(idOf(open));
       }
-      deps.world.tell({
+      deps.world.recordEvent({
         what: 'generation',
         burst: spec.key,
         index: open.index,
@@ -104,8 +104,8 @@
       });
       await reportResult(open, record, outcome);
     };
-    const start = async (open: OpenGeneration, route: Rule): Promise<void> => {
-      const fence = deps.duty.fence(Shards.of(open.burst.spec.key)),
+    const start = async (open: OpenGeneration, route: NamedRoute): Promise<void> => {
+      const fence = deps.duty.fence(BurstShards.leaseNameOf(open.burst.spec.key)),
         generation = open.generation;
       if (fence === null) return;
       const isWaiting = generation.state === 'waiting';
@@ -149,7 +149,7 @@
         if (inProgress.size * route.weight + route.weight > deps.capacity(route)) return;
         inProgress.add(id);
         returned.delete(id);
-        deps.world.tell({
+        deps.world.recordEvent({
           what: 'taken',
           burst: open.burst.spec.key,
           index: open.index,
@@ -165,7 +165,7 @@
     const read = async (): Promise<void> => {
       if (reading) return;
       reading = true;
-      const holdsLease = (key: string): boolean => deps.duty.fence(Shards.of(key)) !== null;
+      const holdsLease = (key: string): boolean => deps.duty.fence(BurstShards.leaseNameOf(key)) !== null;
       const reply = await deps.controlClient.bursts({}, 0);
       if (!reply) {
         reading = false;
@@ -191,12 +191,12 @@
       upToDate = new Set(current.map(idOf));
       for (const name of returned)
         if (!open.some((g) => idOf(g) === name) && !inProgress.has(name) && returned.delete(name))
-          deps.world.tell({ what: 'passedon', name });
+          deps.world.recordEvent({ what: 'passedon', name });
       reading = false;
       fill();
     };
     return {
-      leaseNames: (): readonly string[] => (deps.configuration()?.lending ? Shards.names : []),
+      leaseNames: (): readonly string[] => (deps.configuration()?.lending ? BurstShards.leaseNames : []),
       /** The first burst that has a generation to start or in progress; null if no loan is needed. */
       need(): { burst: string; order: number } | null {
         const first = stopped ? undefined : openGenerations().find((g) => routeOf(g.burst) !== null);
--- a/packages/counter/src/lending/lender.test.ts
+++ b/packages/counter/src/lending/lender.test.ts
@@ -1,9 +1,17 @@
-import { Err, Ok, type Charter, type Doc, type Ident, type PostBox, type World } from '@pumicebarrow/forms';
-import type { Loan, SheetRow } from '@pumicebarrow/registry';
+import {
+  Err,
+  Ok,
+  type FleetConfiguration,
+  type Doc,
+  type Ident,
+  type Messenger,
+  type World,
+} from '@pumicebarrow/forms';
+import type { Loan, StageAssignment } from '@pumicebarrow/registry';
 import { expect } from 'chai';
 import { Lender } from './lender.js';
 
-const configuration: Charter = {
+const configuration: FleetConfiguration = {
   sites: ['s'],
   rules: [],
   servers: ['m1', 'm2'].map((id) => ({ id, site: 's', part: 'either' as const, slots: 8 })),
@@ -19,7 +27,7 @@
   const docs = new Map<string, Doc>();
   const messages: string[] = [];
   const state = { fence: 3 as number | null, decodeLoad: 0, holderReachable: true, running: 0 };
-  const assignment: SheetRow = { server: 'm2', born: 'x', part: 'decode', stage: 'serving', by: 'e9' };
+  const assignment: StageAssignment = { server: 'm2', born: 'x', part: 'decode', stage: 'serving', by: 'e9' };
   const post = {
     on: (kind: string, _schema: unknown, handler: (body: unknown, from: Ident) => unknown) =>
       void handlers.set(kind, handler),
@@ -27,18 +35,18 @@
       messages.push(`${kind} ${addr}`);
       return Promise.resolve(state.holderReachable ? Ok({ ok: true, running: state.running }) : Err('lost'));
     },
-  } as unknown as PostBox;
+  } as unknown as Messenger;
   const loan = (): Loan | null => (docs.get('loan:m2')?.body as Loan | undefined) ?? null;
   const lender = Lender.make({
-    world: { clock: { mono: () => now, wall: () => now }, tell: () => undefined } as unknown as World,
+    world: { clock: { mono: () => now, wall: () => now }, recordEvent: () => undefined } as unknown as World,
     post,
     loan,
     sheet: {
-      charter: () => configuration,
-      rows: () => new Map([['m2', { row: assignment, stamp: [3, 0] }]]),
+      configuration: () => configuration,
+      assignments: () => new Map([['m2', { assignment, stamp: [3, 0] }]]),
       stamp: (name: string) => docs.get(name)?.mark ?? null,
     } as never,
-    town: { good: () => ({}) } as never,
+    town: { findServing: () => ({}) } as never,
     duty: { fence: () => state.fence } as never,
     purge: { publish: (d: Doc) => docs.set(d.name, d) !== undefined } as never,
     load: () => ({ read: 0, write: state.decodeLoad }),
--- a/packages/counter/src/lending/lender.ts
+++ b/packages/counter/src/lending/lender.ts
@@ -1,23 +1,23 @@
-import { Order, type Ident, type PostBox, type World } from '@pumicebarrow/forms';
-import type { Purging } from '@pumicebarrow/purge';
-import type { Loan, SheetRow } from '@pumicebarrow/registry';
-import type { Duties } from '../duties.js';
-import type { SheetView } from '../sheetview.js';
-import type { TownView } from '../townview.js';
-import { LoanWords } from './loanwords.js';
-import { Spare } from './spare.js';
+import { VersionOrder, type Ident, type Messenger, type World } from '@pumicebarrow/forms';
+import type { GossipNode } from '@pumicebarrow/purge';
+import type { Loan, StageAssignment } from '@pumicebarrow/registry';
+import type { DaemonLeases } from '../daemonleases.js';
+import type { FleetRecordsView } from '../fleetrecordsview.js';
+import type { InventoryView } from '../inventoryview.js';
+import { LoanMessages } from './loanmessages.js';
+import { SpareCapacity } from './sparecapacity.js';
 
 type Dependencies = {
   world: World;
-  post: PostBox;
+  post: Messenger;
   /** Configuration and stage assignments. */
-  sheet: SheetView;
+  sheet: FleetRecordsView;
   /** Backend inventory. */
-  town: TownView;
+  town: InventoryView;
   /** Named leases held by this daemon. */
-  duty: Duties;
+  duty: DaemonLeases;
   /** Gossip by which loans are published. */
-  purge: Purging;
+  purge: GossipNode;
   /** Load of the whole fleet by live requests: `read` is prefill, `write` is decode. */
   load: () => { read: number; write: number };
   /** The loan of a server as last published. */
@@ -59,24 +59,28 @@
       const grant = grants.get(server);
       return grant && grant.until > now() ? grant : null;
     };
-    const rows = (): SheetRow[] =>
-      [...deps.sheet.rows().values()].map((r) => r.row).filter((r) => deps.town.good(r.server, r.born) !== null);
+    const rows = (): StageAssignment[] =>
+      [...deps.sheet.assignments().values()]
+        .map((r) => r.assignment)
+        .filter((r) => deps.town.findServing(r.server, r.born) !== null);
     const lendableSlots = (server: string): number => {
-      const configuration = deps.sheet.charter(),
+      const configuration = deps.sheet.configuration(),
         residue = residues.get(server);
       const stillUsed = residue && residue.until > now() ? residue.slots : 0;
-      return configuration ? Math.max(0, Spare.slots(configuration, rows(), deps.load(), server) - stillUsed) : 0;
+      return configuration
+        ? Math.max(0, SpareCapacity.slots(configuration, rows(), deps.load(), server) - stillUsed)
+        : 0;
     };
     const publish = (server: string, slots: number, holder: string, burst: string, why: Loan['why']): boolean => {
       const fencingToken = fence(server),
-        row = deps.sheet.rows().get(server)?.row;
-      const mark = fencingToken === null ? null : Order.next(deps.sheet.stamp(`loan:${server}`), fencingToken);
+        row = deps.sheet.assignments().get(server)?.assignment;
+      const mark = fencingToken === null ? null : VersionOrder.next(deps.sheet.stamp(`loan:${server}`), fencingToken);
       if (!mark || !row) return false;
       const { born, part } = row,
         since = deps.world.clock.wall();
       const body: Loan = { server, born, part, slots, holder, burst, why, by: deps.self(), since };
       if (!deps.purge.publish({ name: `loan:${server}`, mark, body })) return false;
-      deps.world.tell({ what: 'loan', server, part, slots, holder, burst, why });
+      deps.world.recordEvent({ what: 'loan', server, part, slots, holder, burst, why });
       return true;
     };
     /** Ends a loan; `running` is the weight of its requests that may still run. */
@@ -84,7 +88,7 @@
       const grant = grants.get(server);
       if (!grant) return;
       grants.delete(server);
-      if (why === 'lapsed') deps.world.tell({ what: 'lapsed', server, holder: grant.holder.id });
+      if (why === 'lapsed') deps.world.recordEvent({ what: 'lapsed', server, holder: grant.holder.id });
       // If a recalled holder never replied, the residue recorded at the revocation stays in force.
       if (why !== 'lapsed' || grant.slots > 0) residues.set(server, { slots: running, until: now() + RESIDUE_MS });
       if ((deps.loan(server)?.slots ?? 0) > 0) publish(server, 0, grant.holder.id, grant.burst, why);
@@ -99,7 +103,14 @@
       residues.set(server, { slots: revokedSlots, until: grant.until + RESIDUE_MS });
       publish(server, 0, grant.holder.id, grant.burst, why);
       const { addr, id } = grant.holder;
-      const reply = await deps.post.ask(addr, id, 'loan.recall', { server }, LoanWords.recallReply, REQUEST_TIMEOUT_MS);
+      const reply = await deps.post.ask(
+        addr,
+        id,
+        'loan.recall',
+        { server },
+        LoanMessages.recallReply,
+        REQUEST_TIMEOUT_MS,
+      );
       if (reply.ok && reply.val.ok && grants.get(server)?.holder === grant.holder)
         endLoan(server, why, reply.val.running);
     };
@@ -111,12 +122,12 @@
       requests.set(server, recent);
       return recent;
     };
-    deps.post.on('loan.ask', LoanWords.ask, (request, from) => {
+    deps.post.on('loan.ask', LoanMessages.ask, (request, from) => {
       const refuse = (why: string) => ({ ok: false, slots: 0, term: 0, why });
       const requester = instanceOf(from),
-        term = deps.sheet.charter()?.lending?.length;
+        term = deps.sheet.configuration()?.lending?.length;
       if (fence(request.server) === null || term === undefined) return refuse('notmine');
-      if (deps.sheet.rows().get(request.server)?.row.born !== request.born) return refuse('notserving');
+      if (deps.sheet.assignments().get(request.server)?.assignment.born !== request.born) return refuse('notserving');
       if (grants.has(request.server) && !currentGrant(request.server))
         endLoan(request.server, 'lapsed', grants.get(request.server)!.slots);
       const isEarliest = recordRequest(request.server, requester, request.order).every((r) => r.order >= request.order);
@@ -141,7 +152,7 @@
       });
       return { ok: true, slots, term, why: 'lent' };
     });
-    deps.post.on('loan.give', LoanWords.give, (message, from) => {
+    deps.post.on('loan.give', LoanMessages.give, (message, from) => {
       const grant = grants.get(message.server);
       if (!grant || instanceOf(grant.holder) !== instanceOf(from)) return { ok: false };
       endLoan(message.server, 'given', message.running);
@@ -156,7 +167,7 @@
           if (grant.until <= now()) endLoan(server, 'lapsed', grant.slots);
           else if (grant.slots > 0 && lendableSlots(server) === 0) void revoke(server, 'load');
         }
-        for (const { row } of deps.sheet.rows().values()) {
+        for (const { assignment: row } of deps.sheet.assignments().values()) {
           const loan = deps.loan(row.server);
           if (loan && loan.slots > 0 && !grants.has(row.server) && fence(row.server) !== null)
             publish(row.server, 0, loan.holder, loan.burst, 'lapsed');
--- a/packages/counter/src/lending/lendingcontrol.test.ts
+++ b/packages/counter/src/lending/lendingapi.test.ts
@@ -1,12 +1,12 @@
 import { Verdicts } from '@pumicebarrow/forms';
 import { expect } from 'chai';
-import { LendingControl } from './lendingcontrol.js';
+import { LendingApi } from './lendingapi.js';
 
 const spec = { key: 'a', rule: 'rollout', prompts: [{ prefix: 'p', part: 'q' }], samples: 3, repeats: 0 };
 const setup = (coreReachable = true) => {
   const written: unknown[] = [];
-  const api = LendingControl.make({
-    line: {
+  const api = LendingApi.make({
+    controlClient: {
       write: (command: unknown) => {
         written.push(command);
         return Promise.resolve({ ruling: { verdict: Verdicts.ran('begun', 'x') }, term: 0, sent: 0 });
--- a/packages/counter/src/lending/lending.ts
+++ b/packages/counter/src/lending/lendingservice.ts
@@ -1,35 +1,35 @@
-import { Timer, type Ident, type PostBox, type Rule, type Verdict } from '@pumicebarrow/forms';
-import { Holder } from '../holder.js';
-import type { Holding, Purging } from '@pumicebarrow/purge';
+import { Timer, type Ident, type Messenger, type NamedRoute, type Verdict } from '@pumicebarrow/forms';
+import { DesignatedHolder } from '../designatedholder.js';
+import type { RecordStore, GossipNode } from '@pumicebarrow/purge';
 import type { ControlClient, Loan } from '@pumicebarrow/registry';
-import type { Duties } from '../duties.js';
-import { LentRun } from '../lentrun.js';
-import { Loads } from '../loads.js';
-import type { RunTools } from '../runtools.js';
-import type { SheetView } from '../sheetview.js';
+import type { DaemonLeases } from '../daemonleases.js';
+import { BorrowedRequestRunner } from '../borrowedrequestrunner.js';
+import { LoadTracker } from '../loadtracker.js';
+import type { RequestRunnerDependencies } from '../requestrunnerdependencies.js';
+import type { FleetRecordsView } from '../fleetrecordsview.js';
 import { Borrower } from './borrower.js';
 import { Lender } from './lender.js';
-import { LoanDiary } from './loandiary.js';
-import { LiveWatch } from './livewatch.js';
-import { LoanWords } from './loanwords.js';
-import { Runner } from './runner.js';
+import { LoanHistory } from './loanhistory.js';
+import { LiveDemandMonitor } from './livedemandmonitor.js';
+import { LoanMessages } from './loanmessages.js';
+import { BurstRunner } from './burstrunner.js';
 
 type Shared = Pick<
-  RunTools,
+  RequestRunnerDependencies,
   'world' | 'choice' | 'town' | 'hails' | 'witness' | 'back' | 'sighted' | 'version' | 'sure'
 >;
 type Dependencies = Shared & {
-  post: PostBox;
-  line: ControlClient;
+  post: Messenger;
+  controlClient: ControlClient;
   /** Configuration and stage assignments. */
-  sheet: SheetView;
-  shelf: Holding;
+  sheet: FleetRecordsView;
+  recordStore: RecordStore;
   /** Gossip by which loans are published. */
-  purge: Purging;
+  purge: GossipNode;
   /** Named leases held by this daemon. */
-  duty: Duties;
+  duty: DaemonLeases;
   /** Load of this daemon's live requests on the servers. */
-  loads: ReturnType<typeof Loads.make>;
+  loads: ReturnType<typeof LoadTracker.make>;
   /** Weight of live requests that wait: for admission ('prefill'), or with a KV handle for a server ('decode'). */
   waiting: (part: 'prefill' | 'decode') => number;
   /** Zone of this daemon. */
@@ -49,14 +49,15 @@
 const DISPATCH_INTERVAL_MS = 50;
 
 /** Lending in one daemon: it lends the servers whose leases it holds, borrows servers, and runs bursts on them. */
-export const Lending = {
+export const LendingService = {
   make(deps: Dependencies) {
     const { world, sheet } = deps;
-    const borrowedLoads = Loads.make();
-    const termMs = (): number => sheet.charter()?.lending?.length ?? 0;
-    const loan = (server: string): Loan | null => (deps.shelf.get(`loan:${server}`)?.body as Loan | undefined) ?? null;
-    const loans = (): Loan[] => [...sheet.rows().keys()].flatMap((s) => loan(s) ?? []);
-    const history = LoanDiary.make(world.clock, deps.shelf);
+    const borrowedLoads = LoadTracker.make();
+    const termMs = (): number => sheet.configuration()?.lending?.length ?? 0;
+    const loan = (server: string): Loan | null =>
+      (deps.recordStore.get(`loan:${server}`)?.body as Loan | undefined) ?? null;
+    const loans = (): Loan[] => [...sheet.assignments().keys()].flatMap((s) => loan(s) ?? []);
+    const history = LoanHistory.make(world.clock, deps.recordStore);
     const lender = Lender.make({ ...deps, loan });
     const borrower = Borrower.make({
       ...{
@@ -66,32 +67,48 @@
         town: deps.town,
         roster: deps.roster,
         checkSuspension: deps.look,
-        runningWeight: borrowedLoads.at,
+        runningWeight: borrowedLoads.weightAt,
       },
       onLoanEnded: () => borrowedRun.clear(),
     });
-    const borrowedRun = LentRun.make({ ...deps, charter: sheet.charter, loads: borrowedLoads, borrower });
-    const runner = Runner.make({
-      ...{ world, controlClient: deps.line, duty: deps.duty, configuration: sheet.charter, capacity: borrowedRun.room },
+    const borrowedRun = BorrowedRequestRunner.make({
+      ...deps,
+      charter: sheet.configuration,
+      loads: borrowedLoads,
+      borrower,
+    });
+    const runner = BurstRunner.make({
+      ...{
+        world,
+        controlClient: deps.controlClient,
+        duty: deps.duty,
+        configuration: sheet.configuration,
+        capacity: borrowedRun.slotsFor,
+      },
       run: (request, writer) => {
         const done = borrowedRun.request(request, writer);
-        borrowedRun.pump();
+        borrowedRun.grantTurns();
         return done;
       },
     });
-    const monitor = LiveWatch.make({
+    const monitor = LiveDemandMonitor.make({
       ...{ clock: world.clock, post: deps.post, choice: deps.choice, loads: deps.loads, loans, roster: deps.roster },
-      slots: (server) => sheet.charter()?.servers.find((s) => s.id === server)?.slots ?? 0,
+      slots: (server) => sheet.configuration()?.servers.find((s) => s.id === server)?.slots ?? 0,
       waiting: deps.waiting,
       load: deps.load,
-      lender: (server) => Holder.of(`row:${server}`, deps.roster()),
-      onRecall: (part, servers) => world.tell({ what: 'wouldwait', part, servers }),
+      lender: (server) => DesignatedHolder.of(`row:${server}`, deps.roster()),
+      onRecall: (part, servers) => world.recordEvent({ what: 'wouldwait', part, servers }),
     });
-    deps.post.on('loan.recall', LoanWords.recall, (message) => {
+    deps.post.on('loan.recall', LoanMessages.recall, (message) => {
       lender.recall(message.server);
       const ok = borrower.recalled(message.server);
-      if (ok) world.tell({ what: 'recalled', server: message.server, running: borrowedLoads.at(message.server) });
-      return { ok, running: borrowedLoads.at(message.server) };
+      if (ok)
+        world.recordEvent({
+          what: 'recalled',
+          server: message.server,
+          running: borrowedLoads.weightAt(message.server),
+        });
+      return { ok, running: borrowedLoads.weightAt(message.server) };
     });
     const stopTimers: (() => void)[] = [];
     return {
@@ -99,37 +116,39 @@
       loans,
       /** Past and present loans of a server. */
       history: history.of,
-      names: runner.leaseNames,
-      drop: borrower.forgetAll,
+      leaseNames: runner.leaseNames,
+      forgetLeases: borrower.forgetAll,
       /** The decode servers at which borrowed requests run. */
       streaming: (): string[] =>
-        [...sheet.rows().values()].flatMap(({ row }) =>
-          row.part === 'decode' && borrowedLoads.at(row.server) > 0 ? [row.server] : [],
+        [...sheet.assignments().values()].flatMap(({ assignment: row }) =>
+          row.part === 'decode' && borrowedLoads.weightAt(row.server) > 0 ? [row.server] : [],
         ),
-      under: borrowedRun.under,
-      hand: runner.inProgress,
+      inFlight: borrowedRun.inFlight,
+      inProgress: runner.inProgress,
       /** Called when a live request has arrived; `name` is the route that it asks for, if any. */
-      arrived(name: string | undefined): void {
-        const configuration = sheet.charter();
+      onArrival(name: string | undefined): void {
+        const configuration = sheet.configuration();
         if (!configuration?.lending) return;
-        const route: Rule | undefined = configuration.rules.find((r) => r.name === (name ?? configuration.fallback));
+        const route: NamedRoute | undefined = configuration.rules.find(
+          (r) => r.name === (name ?? configuration.fallback),
+        );
         if (route) monitor.onArrival(route);
       },
       /** Called when a live request has finished prefill and needs a decode server. */
-      handed(route: Rule): void {
-        if (sheet.charter()?.lending) monitor.onPrefillDone(route);
+      onPrefillDone(route: NamedRoute): void {
+        if (sheet.configuration()?.lending) monitor.onPrefillDone(route);
       },
       start(): void {
         stopTimers.push(
           Timer.every(world.clock, DISPATCH_INTERVAL_MS, () => {
-            borrowedRun.pump();
+            borrowedRun.grantTurns();
             runner.fill();
           }),
         );
       },
       async tick(): Promise<void> {
         lender.tick();
-        if (!sheet.charter()?.lending && runner.inProgress() === 0 && borrower.count() === 0) return;
+        if (!sheet.configuration()?.lending && runner.inProgress() === 0 && borrower.count() === 0) return;
         borrower.tick(deps.serving() ? runner.need() : null, termMs());
         await runner.read();
       },
@@ -139,7 +158,7 @@
         borrowedRun.clear();
         borrower.tick(null, termMs());
         while (runner.inProgress() > 0 && world.clock.mono() < until)
-          await Timer.nap(world.clock, DISPATCH_INTERVAL_MS);
+          await Timer.sleep(world.clock, DISPATCH_INTERVAL_MS);
       },
       stop(): void {
         for (const stopTimer of stopTimers) stopTimer();
--- a/packages/counter/src/lending/livewatch.test.ts
+++ b/packages/counter/src/lending/livedemandmonitor.test.ts
@@ -1,7 +1,7 @@
-import { Ok, type Ident, type PostBox } from '@pumicebarrow/forms';
+import { Ok, type Ident, type Messenger } from '@pumicebarrow/forms';
 import type { Loan } from '@pumicebarrow/registry';
 import { expect } from 'chai';
-import { LiveWatch } from './livewatch.js';
+import { LiveDemandMonitor } from './livedemandmonitor.js';
 
 const daemon = (id: string): Ident => ({ id, born: 'b', addr: id, site: 's', role: 'counter' });
 /** Two daemons, one decode server of 8 slots: the share of each is 6, or 3 while 4 slots are lent. */
@@ -23,16 +23,16 @@
       since: 0,
     },
   };
-  const monitor = LiveWatch.make({
+  const monitor = LiveDemandMonitor.make({
     clock: { mono: () => now } as never,
     post: {
       ask: (addr: string, _id: string, kind: string) => {
         messages.push(`${kind} ${addr}`);
         return Promise.resolve(Ok({ ok: true, running: 0 }));
       },
-    } as unknown as PostBox,
+    } as unknown as Messenger,
     choice: { usable: (part: string) => (part === 'decode' ? [{ id: 'm1' }] : []) } as never,
-    loads: { at: (id: string) => (id === 'm1' ? state.load : 0) } as never,
+    loads: { weightAt: (id: string) => (id === 'm1' ? state.load : 0) } as never,
     loans: () => [loan],
     slots: () => 8,
     waiting: (part) => (part === 'decode' ? state.waiting : state.admission),
--- a/packages/counter/src/lending/livewatch.ts
+++ b/packages/counter/src/lending/livedemandmonitor.ts
@@ -1,16 +1,16 @@
-import type { Clock, Ident, PostBox, Rule } from '@pumicebarrow/forms';
+import type { Clock, Ident, Messenger, NamedRoute } from '@pumicebarrow/forms';
 import type { Loan } from '@pumicebarrow/registry';
-import type { LoadBook } from '../loadbook.js';
-import type { Choosing } from '../choosing.js';
-import { Share } from '../share.js';
-import { LoanWords } from './loanwords.js';
+import type { InFlightLoads } from '../inflightloads.js';
+import type { ServerPicker } from '../serverpicker.js';
+import { SlotShare } from '../slotshare.js';
+import { LoanMessages } from './loanmessages.js';
 
 type Stage = 'prefill' | 'decode';
 type Dependencies = {
   clock: Clock;
-  post: PostBox;
-  choice: Choosing;
-  loads: LoadBook;
+  post: Messenger;
+  choice: ServerPicker;
+  loads: InFlightLoads;
   loans: () => readonly Loan[];
   slots: (server: string) => number;
   /** Weight of live requests that wait at this daemon for this stage only. */
@@ -34,17 +34,18 @@
  * a request beyond it would wait only if the fleet's live load, with everything in flight here counted as not yet
  * included, does not fit beside the loans.
  */
-export const LiveWatch = {
+export const LiveDemandMonitor = {
   make(deps: Dependencies) {
     const recalledAt = new Map<string, number>();
     const wouldWait = (stage: Stage, weight: number, loans: readonly Loan[]): boolean => {
       const servers = deps.choice.usable(stage);
       const daemons = deps.roster().filter((r) => r.role === 'counter').length;
       const lentSlots = new Map(loans.map((l) => [l.server, l.slots]));
-      const shareOf = (id: string): number => Share.of(Math.max(0, deps.slots(id) - (lentSlots.get(id) ?? 0)), daemons);
+      const shareOf = (id: string): number =>
+        SlotShare.of(Math.max(0, deps.slots(id) - (lentSlots.get(id) ?? 0)), daemons);
       const used =
-        servers.reduce((a, s) => a + deps.loads.at(s.id), 0) +
-        deps.loads.at(RESERVED_LOAD_KEYS[stage]) +
+        servers.reduce((a, s) => a + deps.loads.weightAt(s.id), 0) +
+        deps.loads.weightAt(RESERVED_LOAD_KEYS[stage]) +
         deps.waiting(stage);
       const ownShare = servers.reduce((a, s) => a + shareOf(s.id), 0);
       const fleetCapacity = servers.reduce((a, s) => a + Math.max(0, deps.slots(s.id) - (lentSlots.get(s.id) ?? 0)), 0);
@@ -62,7 +63,7 @@
             ident.id,
             'loan.recall',
             { server: loan.server },
-            LoanWords.recallReply,
+            LoanMessages.recallReply,
             REQUEST_TIMEOUT_MS,
           );
       return true;
@@ -75,13 +76,13 @@
     };
     return {
       /** Called when a live request of this route has arrived. */
-      onArrival(route: Rule): void {
+      onArrival(route: NamedRoute): void {
         const loans = deps.loans();
         check('prefill', route.weight, loans);
         check('decode', route.weight, loans);
       },
       /** Called when a live request of this route has finished prefill and needs a decode server. */
-      onPrefillDone(route: Rule): void {
+      onPrefillDone(route: NamedRoute): void {
         check('decode', route.weight, deps.loans());
       },
     };
--- a/packages/counter/src/lending/loanwords.ts
+++ b/packages/counter/src/lending/loanmessages.ts
@@ -4,7 +4,7 @@
 const server = { server: Type.String({ maxLength: 60 }) };
 
 /** Schemas of the messages between borrower and lender. */
-export const LoanWords = {
+export const LoanMessages = {
   /** Request or renewal of a loan; `born` is the server's incarnation, `order` the burst's place among all bursts. */
   ask: Type.Object(
     { ...server, born: Type.String(), burst: Type.String(), order: Type.Integer({ minimum: 1 }) },
--- a/packages/counter/src/lending/spare.test.ts
+++ b/packages/counter/src/lending/sparecapacity.test.ts
@@ -1,12 +1,12 @@
-import type { Charter } from '@pumicebarrow/forms';
-import type { SheetRow } from '@pumicebarrow/registry';
+import type { FleetConfiguration } from '@pumicebarrow/forms';
+import type { StageAssignment } from '@pumicebarrow/registry';
 import { expect } from 'chai';
-import { Spare } from './spare.js';
+import { SpareCapacity } from './sparecapacity.js';
 
-const rows: SheetRow[] = (['prefill', 'decode', 'decode', 'decode'] as const).map((part, i) => ({
+const rows: StageAssignment[] = (['prefill', 'decode', 'decode', 'decode'] as const).map((part, i) => ({
   ...{ server: `m${i + 1}`, born: 'x', part, stage: i === 3 ? 'dark' : 'serving', by: 'e1' },
 }));
-const configuration = (fraction: number, reserve: number): Charter => ({
+const configuration = (fraction: number, reserve: number): FleetConfiguration => ({
   sites: ['s'],
   rules: [],
   servers: [8, 4, 8, 8].map((slots, i) => ({ id: `m${i + 1}`, site: 's', part: 'either', slots })),
@@ -18,7 +18,7 @@
     length: 900,
   },
 });
-const cases: [string, Charter, { read: number; write: number }, number[]][] = [
+const cases: [string, FleetConfiguration, { read: number; write: number }, number[]][] = [
   [
     'the configured fraction, by size, and nothing of a dark server',
     configuration(0.5, 0),
@@ -40,10 +40,13 @@
 describe('SpareCapacity', () => {
   for (const [name, config, load, expected] of cases)
     it(`lends ${name}`, () =>
-      expect(rows.map((r) => Spare.slots(config, rows, load, r.server))).to.deep.equal(expected));
+      expect(rows.map((r) => SpareCapacity.slots(config, rows, load, r.server))).to.deep.equal(expected));
   it('lends no more in sum than the configured fraction, whatever the load', () => {
     for (let write = 0; write <= 12; write++) {
-      const sum = ['m2', 'm3'].reduce((n, s) => n + Spare.slots(configuration(0.7, 1), rows, { read: 0, write }, s), 0);
+      const sum = ['m2', 'm3'].reduce(
+        (n, s) => n + SpareCapacity.slots(configuration(0.7, 1), rows, { read: 0, write }, s),
+        0,
+      );
       expect(sum).to.be.at.most(Math.max(0, Math.min(12 * 0.7, 11 - write)));
     }
   });
--- a/packages/counter/src/lending/spare.ts
+++ b/packages/counter/src/lending/sparecapacity.ts
@@ -1,5 +1,5 @@
-import type { Charter } from '@pumicebarrow/forms';
-import type { SheetRow } from '@pumicebarrow/registry';
+import type { FleetConfiguration } from '@pumicebarrow/forms';
+import type { StageAssignment } from '@pumicebarrow/registry';
 
 /** Load of the whole fleet by live requests: `read` is prefill, `write` is decode. */
 type Load = { read: number; write: number };
@@ -9,8 +9,8 @@
  * records. Invariant: the sum over the servers of a stage is never more than the configured fraction, nor than what is
  * left beside live requests and the configured reserve.
  */
-export const Spare = {
-  slots(configuration: Charter, rows: readonly SheetRow[], load: Load, server: string): number {
+export const SpareCapacity = {
+  slots(configuration: FleetConfiguration, rows: readonly StageAssignment[], load: Load, server: string): number {
     const lending = configuration.lending,
       row = rows.find((r) => r.server === server && r.stage === 'serving');
     if (!lending || !row) return 0;
--- a/packages/counter/src/bounds.test.ts
+++ b/packages/counter/src/memorybounds.test.ts
@@ -1,13 +1,13 @@
-import { Fading, type Rule, type World } from '@pumicebarrow/forms';
+import { ExpiringMap, type NamedRoute, type World } from '@pumicebarrow/forms';
 import { expect } from 'chai';
 import { Ledger } from './ledger.js';
-import { Shuns } from './shuns.js';
-import { RequestDiary } from './requestdiary.js';
+import { Ejections } from './ejections.js';
+import { RequestLog } from './requestlog.js';
 import { Queue } from './queue.js';
 
 let now = 0;
 const clock = { mono: () => now, wall: () => now, after: () => () => undefined };
-const route: Rule = {
+const route: NamedRoute = {
   ...{ name: 'verdict', weight: 1, urgency: 9, limit: 1, waitlist: 1, deadline: 100, pieces: 1, bytes: 10 },
 };
 
@@ -30,10 +30,10 @@
     1200,
     1024,
     (n) => {
-      const requestLog = RequestDiary.make(clock);
-      const world = requestLog.listen({ tell: () => undefined } as unknown as World);
-      for (let i = 0; i < n; i++) world.tell({ what: 'gated', key: `k${i}`, attempt: 1 });
-      return Array.from({ length: n }, (_, i) => requestLog.of(`k${i}`).length).filter((x) => x > 0).length;
+      const requestLog = RequestLog.make(clock);
+      const world = requestLog.recordEvents({ recordEvent: () => undefined } as unknown as World);
+      for (let i = 0; i < n; i++) world.recordEvent({ what: 'gated', key: `k${i}`, attempt: 1 });
+      return Array.from({ length: n }, (_, i) => requestLog.stepsOf(`k${i}`).length).filter((x) => x > 0).length;
     },
   ],
   [
@@ -41,7 +41,7 @@
     3000,
     1024,
     (n) => {
-      const ejections = Shuns.make(clock);
+      const ejections = Ejections.make(clock);
       for (let i = 0; i < n; i++) ejections.add('m1', `life${i}`, 500);
       expect(ejections.has('m1', `life${n - 1}`)).to.equal(true);
       return ejections.size();
@@ -52,7 +52,7 @@
     50,
     1,
     (n) => {
-      const map = Fading.make<number>(clock.mono, 100);
+      const map = ExpiringMap.make<number>(clock.mono, 100);
       for (let i = 0; i < n; i++) map.set(`k${i}`, i, 10);
       now += 10;
       map.set('last', 1, 10);
--- a/packages/counter/src/backstate.ts
+++ b/packages/counter/src/modelserverstate.ts
@@ -1,7 +1,7 @@
 import { Type, type Static } from 'typebox';
 
 /** State that a model server reports about itself. `born` is its incarnation, `part` its stage (prefill or decode). */
-export const BackState = Type.Object(
+export const ModelServerState = Type.Object(
   {
     id: Type.String(),
     born: Type.String(),
@@ -14,4 +14,4 @@
   },
   { additionalProperties: false },
 );
-export type BackState = Static<typeof BackState>;
+export type ModelServerState = Static<typeof ModelServerState>;
--- a/packages/counter/src/control.ts
+++ b/packages/counter/src/operatorapi.ts
@@ -1,11 +1,11 @@
 import type { Ident } from '@pumicebarrow/forms';
-import { Check, Clauses, Dice, Verdicts, type Verdict, type World } from '@pumicebarrow/forms';
-import { Diff, TraceDesk, Warnings, type CharterBody } from '@pumicebarrow/registry';
+import { SchemaCheck, ConfigurationValidator, Random, Verdicts, type Verdict, type World } from '@pumicebarrow/forms';
+import { ConfigurationDiff, TraceService, ConfigurationWarnings, type ConfigurationBody } from '@pumicebarrow/registry';
 import { Type } from 'typebox';
-import type { Counting } from './counting.js';
-import { LendingControl } from './lending/lendingcontrol.js';
-import { RequestDesk } from './requestdesk.js';
-import { Wellness } from './wellness.js';
+import type { CounterDaemon } from './counterdaemon.js';
+import { LendingApi } from './lending/lendingapi.js';
+import { RequestLogHandler } from './requestloghandler.js';
+import { FleetHealth } from './fleethealth.js';
 
 type Answer = { verdict: Verdict; [key: string]: unknown };
 const PlanReference = Type.Object(
@@ -18,18 +18,18 @@
 );
 
 /** The operators' interface of a daemon that serves `control`: configuration plans, status and tracing. */
-export const Control = {
-  make(world: World, daemon: Counting) {
+export const OperatorApi = {
+  make(world: World, daemon: CounterDaemon) {
     const noReply = (): Answer => ({
-      verdict: Verdicts.not('unready', 'The core does not reply; nothing was read.', 1),
+      verdict: Verdicts.notRun('unready', 'The core does not reply; nothing was read.', 1),
     });
     /** Confirms or drops a plan. A version confirmed is stored here at once, without waiting for gossip. */
     const resolvePlan = async (command: 'confirm' | 'drop', body: unknown): Promise<Answer> => {
-      const parsed = Check.parse(PlanReference, body);
-      if (parsed.err) return { verdict: Verdicts.bad(parsed.val) };
-      const { ruling } = await daemon.line.write({ do: command, id: parsed.val.plan });
+      const parsed = SchemaCheck.parse(PlanReference, body);
+      if (parsed.err) return { verdict: Verdicts.invalid(parsed.val) };
+      const { ruling } = await daemon.controlClient.write({ do: command, id: parsed.val.plan });
       if (ruling.version !== undefined && ruling.verdict.ran === 'yes' && ruling.version > daemon.sheet.version()) {
-        const latest = await daemon.line.read(undefined, 800);
+        const latest = await daemon.controlClient.read(undefined, 800);
         if (latest?.charter)
           daemon.purge.learn(
             {
@@ -49,7 +49,7 @@
         ident.id,
         'trace.tell',
         name === undefined ? {} : { name },
-        TraceDesk.forms.told,
+        TraceService.schemas.reply,
         800,
       );
       return { id: ident.id, reached: reply.ok, reported: reply.ok ? reply.val : null };
@@ -57,29 +57,30 @@
     /** The control replicas and all daemons known here, also those that answered lately but no longer do. */
     const allDaemons = (): Ident[] => {
       const byId = new Map<string, Ident>();
-      for (const m of daemon.line.view()?.chain ?? []) byId.set(m.id, { ...m, site: 'core', role: 'registry' });
-      for (const r of [...daemon.roster(), ...daemon.purge.peers(), ...daemon.met()])
+      for (const m of daemon.controlClient.view()?.chain ?? [])
+        byId.set(m.id, { ...m, site: 'core', role: 'registry' });
+      for (const r of [...daemon.roster(), ...daemon.purge.peers(), ...daemon.recentDaemons()])
         if (!byId.has(r.id)) byId.set(r.id, r);
       return [...byId.values()].sort((a, b) => (a.id < b.id ? -1 : 1));
     };
     return {
-      lending: LendingControl.make(daemon),
+      lending: LendingApi.make(daemon),
       /** Submits a configuration as a plan, and returns what it would change and what to watch out for. */
       async plan(body: unknown): Promise<Answer> {
-        const parsed = Check.parse(PlanRequest, body);
-        if (parsed.err) return { verdict: Verdicts.bad(parsed.val) };
-        const proposed = Clauses.read(parsed.val.charter);
-        if (proposed.err) return { verdict: Verdicts.bad(proposed.val) };
-        const latest = await daemon.line.read(undefined, 2500);
+        const parsed = SchemaCheck.parse(PlanRequest, body);
+        if (parsed.err) return { verdict: Verdicts.invalid(parsed.val) };
+        const proposed = ConfigurationValidator.parse(parsed.val.charter);
+        if (proposed.err) return { verdict: Verdicts.invalid(proposed.val) };
+        const latest = await daemon.controlClient.read(undefined, 2500);
         if (!latest) return noReply();
         const base = latest.charter?.version ?? 0;
-        const id = parsed.val.id ?? `p-${Dice.word(world.chance)}`;
-        const { ruling } = await daemon.line.write({ do: 'plan', id, base, charter: proposed.val });
+        const id = parsed.val.id ?? `p-${Random.hexId(world.random)}`;
+        const { ruling } = await daemon.controlClient.write({ do: 'plan', id, base, charter: proposed.val });
         const current = latest.charter?.body ?? null,
-          rows = [...daemon.sheet.rows().values()].map((r) => r.row);
+          rows = [...daemon.sheet.assignments().values()].map((r) => r.assignment);
         const review = {
-          changes: Diff.of(current, proposed.val),
-          warnings: Warnings.of(current, proposed.val, rows),
+          changes: ConfigurationDiff.of(current, proposed.val),
+          warnings: ConfigurationWarnings.of(current, proposed.val, rows),
         };
         return { ...ruling, plan: id, base, ...review };
       },
@@ -87,21 +88,21 @@
       drop: (body: unknown): Promise<Answer> => resolvePlan('drop', body),
       /** The configuration in force, read from the tail of the chain. */
       async read(): Promise<Answer> {
-        const latest = await daemon.line.read(undefined, 2500);
+        const latest = await daemon.controlClient.read(undefined, 2500);
         if (!latest) return noReply();
         return {
-          verdict: Verdicts.ran('read', 'As stored by the core.'),
+          verdict: Verdicts.ran('read', 'As the core has it.'),
           version: latest.charter?.version ?? 0,
           plan: latest.charter?.plan ?? null,
           charter: latest.charter?.body ?? null,
         };
       },
       /** What became of a plan. */
-      async fate(plan: string): Promise<Answer> {
-        const latest = await daemon.line.read(plan, 2500);
+      async planOutcome(plan: string): Promise<Answer> {
+        const latest = await daemon.controlClient.read(plan, 2500);
         if (!latest) return noReply();
         if (!latest.plan)
-          return { verdict: Verdicts.not('unknown', `Plan ${plan} is not known; the latest 200 are kept.`) };
+          return { verdict: Verdicts.notRun('unknown', `No plan ${plan} is remembered; the latest 200 are.`) };
         return {
           verdict: Verdicts.ran('read', `Plan ${plan} is ${latest.plan.fate}.`),
           fate: latest.plan.fate,
@@ -111,7 +112,7 @@
       },
       /** State of the whole fleet, and its problems. */
       async status(): Promise<Answer> {
-        const latest = await daemon.line.read(undefined, 1500);
+        const latest = await daemon.controlClient.read(undefined, 1500);
         const daemons = await Promise.all(
           allDaemons().map(async (ident) => {
             const trace = await requestTrace(ident, undefined);
@@ -128,21 +129,21 @@
             };
           }),
         );
-        const sheet = [...daemon.sheet.rows().values()].map((r) => ({ ...r.row, mark: r.stamp }));
-        const wrong = Wellness.problems({
+        const sheet = [...daemon.sheet.assignments().values()].map((r) => ({ ...r.assignment, mark: r.stamp }));
+        const wrong = FleetHealth.problems({
           version: latest ? (latest.charter?.version ?? 0) : null,
-          view: daemon.line.view(),
+          view: daemon.controlClient.view(),
           daemons,
           rows: sheet,
-          configuration: daemon.sheet.charter(),
-          listed: daemon.watch.young() ? daemon.watch.all().filter((s) => s.mark === 'serving') : null,
+          configuration: daemon.sheet.configuration(),
+          listed: daemon.inventory.isFresh() ? daemon.inventory.all().filter((s) => s.mark === 'serving') : null,
         });
         return {
-          verdict: Verdicts.ran('read', 'As reported by the daemons.'),
+          verdict: Verdicts.ran('read', 'As the daemons say.'),
           wrong,
           core: latest ? 'reached' : 'unreached',
           version: latest?.charter?.version ?? null,
-          view: daemon.line.view(),
+          view: daemon.controlClient.view(),
           daemons,
           sheet,
         };
@@ -158,8 +159,8 @@
         }));
         const wanted = version ?? Math.max(0, ...daemons.map((d) => d.holds?.[0] ?? 0));
         const known = daemons.some((d) => d.steps.some((s) => s.mark[0] === wanted) || (d.holds?.[0] ?? -1) === wanted);
-        if (!known) return { verdict: Verdicts.not('unknown', `No daemon knows ${name} ${version ?? ''}.`) };
-        return { verdict: Verdicts.ran('read', 'As reported by the daemons.'), name, version: wanted, daemons };
+        if (!known) return { verdict: Verdicts.notRun('unknown', `No daemon has met ${name} ${version ?? ''}.`) };
+        return { verdict: Verdicts.ran('read', 'As the daemons say.'), name, version: wanted, daemons };
       },
       /** What became of a request, as each daemon knows it. */
       async request(key: string): Promise<Answer> {
@@ -172,7 +173,7 @@
                 ident.id,
                 'visit.tell',
                 { key },
-                RequestDesk.forms.told,
+                RequestLogHandler.schemas.reply,
                 800,
               );
               return {
@@ -184,12 +185,12 @@
             }),
         );
         if (daemons.every((r) => r.steps.length === 0 && r.entry === null))
-          return { verdict: Verdicts.not('unknown', `No daemon that replied knows ${key}.`) };
-        return { verdict: Verdicts.ran('read', 'As reported by the daemons.'), key, daemons };
+          return { verdict: Verdicts.notRun('unknown', `No daemon that replied knows ${key}.`) };
+        return { verdict: Verdicts.ran('read', 'As the daemons say.'), key, daemons };
       },
       /** The configuration record stored by this daemon. */
-      storedConfiguration: (): CharterBody | null =>
-        (daemon.shelf.get('charter')?.body as CharterBody | undefined) ?? null,
+      storedConfiguration: (): ConfigurationBody | null =>
+        (daemon.recordStore.get('charter')?.body as ConfigurationBody | undefined) ?? null,
     };
   },
 };
--- a/packages/counter/src/queue.test.ts
+++ b/packages/counter/src/queue.test.ts
@@ -1,9 +1,9 @@
-import type { Rule } from '@pumicebarrow/forms';
+import type { NamedRoute } from '@pumicebarrow/forms';
 import { expect } from 'chai';
-import { Bucket } from './bucket.js';
+import { RetryBudget } from './retrybudget.js';
 import { Queue } from './queue.js';
 
-const route = (name: string, urgency: number): Rule => ({
+const route = (name: string, urgency: number): NamedRoute => ({
   name,
   weight: 1,
   urgency,
@@ -28,14 +28,14 @@
       },
     });
     const outcomes: string[] = [];
-    const enter = (name: string, route: Rule, due: number) => {
+    const enter = (name: string, route: NamedRoute, due: number) => {
       const entry = queue.enter(route, due);
       void entry.turn.then((granted) => outcomes.push(granted ? name : `${name} given up`));
       return entry;
     };
     return { queue, enter, outcomes, timers };
   };
-  const cases: [string, [string, Rule, number][], number, string[]][] = [
+  const cases: [string, [string, NamedRoute, number][], number, string[]][] = [
     [
       'the most urgent first',
       [
@@ -79,7 +79,7 @@
       const s = setup();
       for (const [entryName, entryRoute, due] of entries) s.enter(entryName, entryRoute, due);
       let roomLeft = room;
-      s.queue.pump(() => roomLeft-- > 0);
+      s.queue.grantTurns(() => roomLeft-- > 0);
       await Promise.resolve();
       expect(s.outcomes).to.deep.equal(expected);
     });
@@ -94,16 +94,16 @@
     it(`estimates the wait: ${name}`, () => {
       const s = setup();
       for (let i = 0; i < granted; i++) s.enter('x', review, 9);
-      s.queue.pump(() => true);
+      s.queue.grantTurns(() => true);
       for (let i = 0; i < ahead; i++) s.enter('y', review, 9);
-      expect(s.queue.foresee(urgency)).to.equal(expected);
+      expect(s.queue.estimateWaitMs(urgency)).to.equal(expected);
     });
   }
   it('does not let a request without room block those behind it', async () => {
     const s = setup();
     s.enter('v', verdict, 1);
     s.enter('r', review, 2);
-    s.queue.pump((r) => r.name === 'review');
+    s.queue.grantTurns((r) => r.name === 'review');
     await Promise.resolve();
     expect(s.outcomes).to.deep.equal(['r']);
     expect(s.queue.length('verdict')).to.equal(1);
@@ -113,7 +113,7 @@
     s.enter('a', review, 700);
     expect(s.timers[0]!.at).to.equal(700);
     s.timers[0]!.fn();
-    s.queue.pump(() => true);
+    s.queue.grantTurns(() => true);
     await Promise.resolve();
     expect(s.outcomes).to.deep.equal(['a given up']);
     expect(s.queue.total()).to.equal(0);
@@ -122,18 +122,18 @@
 
 describe('RetryBudget', () => {
   it('starts empty and never allows more retries than a fifth of the requests', () => {
-    const budget = Bucket.make(0.2, 3);
-    let retries = budget.take() ? 1 : 0;
+    const budget = RetryBudget.make(0.2, 3);
+    let retries = budget.tryTake() ? 1 : 0;
     for (let i = 0; i < 1000; i++) {
-      budget.request();
-      if (budget.take()) retries++;
+      budget.recordRequest();
+      if (budget.tryTake()) retries++;
     }
     expect(retries).to.be.at.most(200);
     expect(retries).to.be.at.least(150);
   });
   it('accumulates no more tokens than its capacity', () => {
-    const budget = Bucket.make(0.2, 3);
-    for (let i = 0; i < 1000; i++) budget.request();
-    expect([1, 2, 3, 4].map(() => budget.take())).to.deep.equal([true, true, true, false]);
+    const budget = RetryBudget.make(0.2, 3);
+    for (let i = 0; i < 1000; i++) budget.recordRequest();
+    expect([1, 2, 3, 4].map(() => budget.tryTake())).to.deep.equal([true, true, true, false]);
   });
 });
--- a/packages/counter/src/waiter.ts
+++ b/packages/counter/src/queuedrequest.ts
@@ -1,8 +1,8 @@
-import type { Rule } from '@pumicebarrow/forms';
+import type { NamedRoute } from '@pumicebarrow/forms';
 
 /** A queued request. Invariant: `resolve` is called once, with true for its turn or with false if it is given up. */
-export type Waiter = {
-  rule: Rule;
+export type QueuedRequest = {
+  rule: NamedRoute;
   /** When it is given up, in monotonic ms. */
   due: number;
   /** Order of arrival. */
--- a/packages/counter/src/requestdiary.ts
+++ b/packages/counter/src/requestlog.ts
@@ -4,15 +4,15 @@
 const MAX_REQUESTS = 1024;
 
 /** Log of the steps this daemon took for its latest requests. Invariant: keeps at most MAX_REQUESTS requests. */
-export const RequestDiary = {
+export const RequestLog = {
   make(clock: Clock) {
     const stepsByKey = new Map<string, readonly Step[]>();
     return {
-      of: (key: string): readonly Step[] => stepsByKey.get(key) ?? [],
+      stepsOf: (key: string): readonly Step[] => stepsByKey.get(key) ?? [],
       /** Wraps a world so that its events about requests are also recorded here. */
-      listen: (world: World): World => ({
+      recordEvents: (world: World): World => ({
         ...world,
-        tell(event) {
+        recordEvent(event) {
           const { what, key, attempt, ...more } = event;
           if (typeof key === 'string' && typeof attempt === 'number') {
             const earlierSteps = stepsByKey.get(key) ?? [];
@@ -20,7 +20,7 @@
             stepsByKey.set(key, [...earlierSteps, { what: String(what), wall: clock.wall(), attempt, more }]);
             if (stepsByKey.size > MAX_REQUESTS) stepsByKey.delete(stepsByKey.keys().next().value!);
           }
-          world.tell(event);
+          world.recordEvent(event);
         },
       }),
     };
--- a/packages/counter/src/requestdesk.ts
+++ b/packages/counter/src/requestloghandler.ts
@@ -1,15 +1,15 @@
-import type { PostBox } from '@pumicebarrow/forms';
+import type { Messenger } from '@pumicebarrow/forms';
 import { Type } from 'typebox';
 import type { Ledger } from './ledger.js';
-import type { RequestDiary } from './requestdiary.js';
+import type { RequestLog } from './requestlog.js';
 
 const strict = { additionalProperties: false } as const;
 
 /** Serves what this daemon knows of a request: the steps it took, and its entry as a ledger owner. */
-export const RequestDesk = {
-  forms: {
+export const RequestLogHandler = {
+  schemas: {
     request: Type.Object({ key: Type.String() }, strict),
-    told: Type.Object(
+    reply: Type.Object(
       {
         steps: Type.Array(
           Type.Object(
@@ -30,11 +30,11 @@
       strict,
     ),
   },
-  make(post: PostBox, requestLog: ReturnType<typeof RequestDiary.make>, ledger: ReturnType<typeof Ledger.make>): void {
-    post.on('visit.tell', RequestDesk.forms.request, (message) => {
+  make(post: Messenger, requestLog: ReturnType<typeof RequestLog.make>, ledger: ReturnType<typeof Ledger.make>): void {
+    post.on('visit.tell', RequestLogHandler.schemas.request, (message) => {
       const entry = ledger.get(message.key);
       return {
-        steps: requestLog.of(message.key),
+        steps: requestLog.stepsOf(message.key),
         entry: entry ? { attempt: entry.attempt, state: entry.state, by: entry.by } : null,
       };
     });
--- a/packages/counter/src/requestmeter.test.ts
+++ b/packages/counter/src/requestmetrics.test.ts
@@ -1,8 +1,8 @@
-import { Meters, type World } from '@pumicebarrow/forms';
+import { MetricsRegistry, type World } from '@pumicebarrow/forms';
 import { expect } from 'chai';
-import { RequestMeter } from './requestmeter.js';
+import { RequestMetrics } from './requestmetrics.js';
 
-type Event = Parameters<World['tell']>[0];
+type Event = Parameters<World['recordEvent']>[0];
 type Step = [ms: number, d: Event];
 const requestEvent = (what: string, more: object = {}): Event => ({ what, key: 'k', attempt: 1, ...more });
 const admitted = requestEvent('gated', { rule: 'verdict' });
@@ -10,16 +10,16 @@
 /** Metrics text after some events, each so many ms after the one before. */
 const metricsAfter = async (steps: readonly Step[]): Promise<string> => {
   let now = 0;
-  const meters = Meters.make();
-  const meter = RequestMeter.make(meters, () => now);
+  const meters = MetricsRegistry.make();
+  const meter = RequestMetrics.make(meters, () => now);
   const forwarded: Event[] = [];
-  const world = meter.listen({ tell: (event: Event) => forwarded.push(event) } as unknown as World);
+  const world = meter.countEvents({ recordEvent: (event: Event) => forwarded.push(event) } as unknown as World);
   for (const [ms, event] of steps) {
     now += ms;
-    world.tell(event);
+    world.recordEvent(event);
   }
   expect(forwarded.length).to.equal(steps.length);
-  return meters.text();
+  return meters.render();
 };
 
 describe('RequestMetrics', () => {
@@ -78,23 +78,23 @@
     });
   }
   it('tracks no more requests than its limit, and counts one that it dropped', () => {
-    const meter = RequestMeter.make(Meters.make(), () => 0);
-    const world = meter.listen({ tell: () => undefined } as unknown as World);
-    for (let i = 0; i < 10_000; i++) world.tell({ ...admitted, key: `k${i}` });
+    const meter = RequestMetrics.make(MetricsRegistry.make(), () => 0);
+    const world = meter.countEvents({ recordEvent: () => undefined } as unknown as World);
+    for (let i = 0; i < 10_000; i++) world.recordEvent({ ...admitted, key: `k${i}` });
     expect(meter.trackedCount()).to.equal(8192);
-    world.tell({ ...requestEvent('visit', { ran: 'yes', code: 'ran' }), key: 'k0' });
+    world.recordEvent({ ...requestEvent('visit', { ran: 'yes', code: 'ran' }), key: 'k0' });
     expect(meter.trackedCount()).to.equal(8192);
   });
   it('measures the time between the pieces of a stream', async () => {
     let now = 0;
-    const meters = Meters.make();
-    const meter = RequestMeter.make(meters, () => now);
-    meter.listen({ tell: () => undefined } as unknown as World).tell(admitted);
-    const sink = meter.timed({ key: 'k', attempt: 1 }, { piece: () => undefined } as never);
+    const meters = MetricsRegistry.make();
+    const meter = RequestMetrics.make(meters, () => now);
+    meter.countEvents({ recordEvent: () => undefined } as unknown as World).recordEvent(admitted);
+    const writer = meter.timePieces({ key: 'k', attempt: 1 }, { writePiece: () => undefined } as never);
     for (const at of [10, 30, 70]) {
       now = at;
-      sink.piece(1, 'x');
+      writer.writePiece(1, 'x');
     }
-    expect(await meters.text()).to.contain('pumicebarrow_between_pieces_seconds_sum{rule="verdict"} 0.06\n');
+    expect(await meters.render()).to.contain('pumicebarrow_between_pieces_seconds_sum{rule="verdict"} 0.06\n');
   });
 });
--- a/packages/counter/src/requestmeter.ts
+++ b/packages/counter/src/requestmetrics.ts
@@ -1,5 +1,5 @@
-import type { Metering, World } from '@pumicebarrow/forms';
-import type { CallerSink } from './callersink.js';
+import type { Metrics, World } from '@pumicebarrow/forms';
+import type { ResponseWriter } from './responsewriter.js';
 
 type TrackedRequest = { rule: string; admittedAtMs: number; sent: boolean };
 const MAX_TRACKED_REQUESTS = 8192;
@@ -10,30 +10,30 @@
  * Derives metrics from the events of requests. Invariants: a request is tracked by key and attempt from admission to
  * its outcome; at most MAX_TRACKED_REQUESTS are tracked, and one that was dropped is counted without its route.
  */
-export const RequestMeter = {
-  make(metrics: Metering, mono: () => number) {
+export const RequestMetrics = {
+  make(metrics: Metrics, mono: () => number) {
     const inFlight = new Map<string, TrackedRequest>();
-    const requestsTotal = metrics.count('visits_total', 'requests that ended here, by rule and verdict', [
+    const requestsTotal = metrics.counter('visits_total', 'requests that ended here, by rule and verdict', [
       'rule',
       'ran',
       'code',
     ]);
-    const extraTriesTotal = metrics.count('extra_tries_total', 'hand-overs tried again, by what the first met', [
+    const extraTriesTotal = metrics.counter('extra_tries_total', 'hand-overs tried again, by what the first met', [
       'code',
     ]);
-    const waitSeconds = metrics.time('wait_seconds', 'from admission to the first send', ['rule']);
-    const firstPieceSeconds = metrics.time('first_piece_seconds', 'from admission to the first piece', ['rule']);
-    const betweenPiecesSeconds = metrics.time('between_pieces_seconds', 'from one piece to the next', ['rule']);
-    const requestSeconds = metrics.time('visit_seconds', 'from admission to the outcome', ['rule']);
-    const recordsHeldTotal = metrics.count('docs_held_total', 'versions taken in, by how they came', ['via']);
-    const ordersTotal = metrics.count('orders_total', 'orders sent to servers');
-    const suspensionsTotal = metrics.count('sleeps_total', 'times that this daemon found that it had slept');
+    const waitSeconds = metrics.timer('wait_seconds', 'from admission to the first send', ['rule']);
+    const firstPieceSeconds = metrics.timer('first_piece_seconds', 'from admission to the first piece', ['rule']);
+    const betweenPiecesSeconds = metrics.timer('between_pieces_seconds', 'from one piece to the next', ['rule']);
+    const requestSeconds = metrics.timer('visit_seconds', 'from admission to the outcome', ['rule']);
+    const recordsHeldTotal = metrics.counter('docs_held_total', 'versions taken in, by how they came', ['via']);
+    const ordersTotal = metrics.counter('orders_total', 'orders sent to servers');
+    const suspensionsTotal = metrics.counter('sleeps_total', 'times that this daemon found that it had slept');
     const idOf = (event: object): string => {
       const { key, attempt } = event as { key?: unknown; attempt?: unknown };
       return `${String(key)} ${String(attempt)}`;
     };
-    const onAdmitted = (id: string, rule: string): void => {
-      inFlight.set(id, { rule, admittedAtMs: mono(), sent: false });
+    const onAdmitted = (id: string, route: string): void => {
+      inFlight.set(id, { rule: route, admittedAtMs: mono(), sent: false });
       if (inFlight.size > MAX_TRACKED_REQUESTS) inFlight.delete(inFlight.keys().next().value!);
     };
     const onSent = (tracked: TrackedRequest): void => {
@@ -45,7 +45,7 @@
       if (tracked) requestSeconds(mono() - tracked.admittedAtMs, { rule: tracked.rule });
       inFlight.delete(id);
     };
-    const onEvent = (event: Parameters<World['tell']>[0]): void => {
+    const onEvent = (event: Parameters<World['recordEvent']>[0]): void => {
       const id = idOf(event),
         tracked = inFlight.get(id);
       if (event.what === 'gated') onAdmitted(id, String(event['rule']));
@@ -61,26 +61,26 @@
     return {
       trackedCount: (): number => inFlight.size,
       /** Wraps a world so that its events are also counted. */
-      listen(world: World): World {
+      countEvents(world: World): World {
         return {
           ...world,
-          tell: (event) => {
+          recordEvent: (event) => {
             onEvent(event);
-            world.tell(event);
+            world.recordEvent(event);
           },
         };
       },
       /** Wraps a response writer so that the time between pieces is measured. */
-      timed(id: { key: string; attempt: number }, writer: CallerSink): CallerSink {
+      timePieces(id: { key: string; attempt: number }, writer: ResponseWriter): ResponseWriter {
         let lastPieceAtMs = -1;
         return {
           ...writer,
-          piece(n, text) {
+          writePiece(n, text) {
             const now = mono();
             if (lastPieceAtMs >= 0)
               betweenPiecesSeconds(now - lastPieceAtMs, { rule: inFlight.get(idOf(id))?.rule ?? UNKNOWN_ROUTE });
             lastPieceAtMs = now;
-            writer.piece(n, text);
+            writer.writePiece(n, text);
           },
         };
       },
--- a/packages/counter/src/run.ts
+++ b/packages/counter/src/requestrunner.ts
@@ -1,13 +1,13 @@
-import { Hash, Verdicts, type Ident, type Rule, type Verdict } from '@pumicebarrow/forms';
+import { Hash, Verdicts, type Ident, type NamedRoute, type Verdict } from '@pumicebarrow/forms';
 import { interpret } from 'robot3';
-import type { CallerSink } from './callersink.js';
-import { PrefillRunner } from './reading.js';
-import type { RunTools } from './runtools.js';
-import { RetryPolicy } from './tries.js';
-import type { Trip } from './trip.js';
-import type { Request } from './request.js';
-import { RequestLife } from './requestlife.js';
-import { DecodeRunner } from './writing.js';
+import type { ResponseWriter } from './responsewriter.js';
+import { PrefillRunner } from './prefillrunner.js';
+import type { RequestRunnerDependencies } from './requestrunnerdependencies.js';
+import { RetryPolicy } from './retrypolicy.js';
+import type { InFlightRequest } from './inflightrequest.js';
+import type { ClientRequest } from './clientrequest.js';
+import { RequestStateMachine } from './requeststatemachine.js';
+import { DecodeRunner } from './decoderunner.js';
 
 type AdmittedTurn = { settled: () => void; over: () => void };
 type LedgerRecord = { owners: readonly Ident[]; digest: string };
@@ -15,9 +15,9 @@
 type Outcome = { verdict: Verdict; ran: boolean };
 const MAX_RETRY_AFTER_S = 15;
 const noRoomInTime = (estimatedWaitMs: number): Verdict =>
-  Verdicts.not(
+  Verdicts.notRun(
     'late',
-    'No server had free capacity in time.',
+    'No server had room in time.',
     Math.min(MAX_RETRY_AFTER_S, Math.max(1, Math.ceil(estimatedWaitMs / 1000))),
   );
 
@@ -29,38 +29,38 @@
  * retry takes a token from the retry budget; the response writer receives exactly one outcome.
  */
 export const RequestRunner = {
-  make(deps: RunTools) {
+  make(deps: RequestRunnerDependencies) {
     const { world, witness } = deps;
     const now = (): number => world.clock.mono();
     const retryPolicy = RetryPolicy.make(deps);
     const prefill = PrefillRunner.make(deps, retryPolicy),
       decode = DecodeRunner.make(deps, retryPolicy);
-    const lateVerdict = (route: Rule): Verdict => noRoomInTime(deps.queue.foresee(route.urgency));
+    const lateVerdict = (route: NamedRoute): Verdict => noRoomInTime(deps.queue.estimateWaitMs(route.urgency));
 
     /** Runs prefill and decode of a request marked as sent, with safe retries, until it completes or is given up. */
     const runToEnd = async (
-      request: Request,
-      route: Rule,
-      writer: CallerSink,
+      request: ClientRequest,
+      route: NamedRoute,
+      writer: ResponseWriter,
       deadline: number,
       releaseReservation: () => void,
     ): Promise<Outcome> => {
-      const stateMachine = interpret(RequestLife, () => undefined);
-      const prefix = Hash.text(request.prefix);
-      const inFlight: Trip = {
+      const stateMachine = interpret(RequestStateMachine, () => undefined);
+      const prefix = Hash.ofText(request.prefix);
+      const inFlight: InFlightRequest = {
         ...{
-          v: request,
-          rule: route,
-          sink: writer,
-          due: deadline,
-          settled: releaseReservation,
-          life: stateMachine,
+          request,
+          route,
+          writer,
+          deadline,
+          releaseReservation,
+          stateMachine,
           prefix,
-          why: lateVerdict(route),
+          failure: lateVerdict(route),
         },
-        avoid: new Set(),
+        excludedServers: new Set(),
         handle: null,
-        reader: null,
+        prefillServer: null,
       };
       const state = (): string => stateMachine.machine.current;
       stateMachine.send('turn');
@@ -68,21 +68,27 @@
       while (state() === 'reading' || state() === 'handing')
         await (state() === 'reading' ? prefill(inFlight) : decode(inFlight));
       releaseReservation();
-      if (state() === 'ended') return { verdict: Verdicts.ran('ran', 'The answer is complete.'), ran: true };
-      return { verdict: inFlight.why, ran: false };
+      if (state() === 'ended') return { verdict: Verdicts.ran('ran', 'The answer is whole.'), ran: true };
+      return { verdict: inFlight.failure, ran: false };
     };
-    const recordOutcome = (request: Request, verdict: Verdict): void =>
-      world.tell({ what: 'visit', key: request.key, attempt: request.attempt, ran: verdict.ran, code: verdict.code });
-    const finish = (request: Request, writer: CallerSink, verdict: Verdict): Verdict => {
+    const recordOutcome = (request: ClientRequest, verdict: Verdict): void =>
+      world.recordEvent({
+        what: 'visit',
+        key: request.key,
+        attempt: request.attempt,
+        ran: verdict.ran,
+        code: verdict.code,
+      });
+    const finish = (request: ClientRequest, writer: ResponseWriter, verdict: Verdict): Verdict => {
       recordOutcome(request, verdict);
-      if (verdict.code === 'cut') writer.cut(verdict);
+      if (verdict.code === 'cut') writer.abort(verdict);
       else writer.refuse(verdict);
       return verdict;
     };
     /** The request got no turn, or was not marked as sent in time: closes the attempt before the client is told. */
     const closeUnmarked = async (
-      request: Request,
-      route: Rule,
+      request: ClientRequest,
+      route: NamedRoute,
       record: LedgerRecord,
       turn: AdmittedTurn | null,
       marked: boolean,
@@ -92,18 +98,18 @@
       await witness.close(request, record.owners, record.digest);
       deps.grantTurns();
       return turn && !marked
-        ? Verdicts.not('noledger', 'The request could not be marked as sent.', 1)
+        ? Verdicts.notRun('noledger', 'The request could not be marked as sent.', 1)
         : lateVerdict(route);
     };
 
-    return async (request: Request, writer: CallerSink): Promise<Verdict> => {
+    return async (request: ClientRequest, writer: ResponseWriter): Promise<Verdict> => {
       const route = deps.admission.check(request);
       if (route.err) {
         await witness.closeRefused(request);
         return finish(request, writer, route.val);
       }
-      deps.retryBudget.request();
-      world.tell({ what: 'gated', key: request.key, attempt: request.attempt, rule: route.val.name });
+      deps.retryBudget.recordRequest();
+      world.recordEvent({ what: 'gated', key: request.key, attempt: request.attempt, rule: route.val.name });
       const deadline = now() + route.val.deadline;
       const queued = deps.queue.enter(route.val, deadline);
       const record = await witness.open(request);
@@ -112,11 +118,16 @@
         return finish(request, writer, record.rejection);
       }
       const { owners, digest } = record;
-      world.tell({ what: 'recorded', key: request.key, attempt: request.attempt, owners: owners.map((o) => o.id) });
+      world.recordEvent({
+        what: 'recorded',
+        key: request.key,
+        attempt: request.attempt,
+        owners: owners.map((o) => o.id),
+      });
       deps.grantTurns();
       const granted = await queued.turn;
       const turn = granted ? deps.admission.begin(route.val) : null;
-      const marked = turn && !writer.gone() ? await witness.markSent(request, owners, digest) : false;
+      const marked = turn && !writer.isClientGone() ? await witness.markSent(request, owners, digest) : false;
       if (!turn || !marked || now() >= deadline)
         return finish(request, writer, await closeUnmarked(request, route.val, record, turn, marked));
       const outcome = await runToEnd(request, route.val, writer, deadline, turn.settled);
--- a/packages/counter/src/runtools.ts
+++ b/packages/counter/src/requestrunnerdependencies.ts
@@ -1,37 +1,37 @@
 import type { World } from '@pumicebarrow/forms';
-import type { Back } from './back.js';
-import type { Bucket } from './bucket.js';
-import type { Hailing } from './hailing.js';
-import type { Admitting } from './admitting.js';
-import type { Listed } from './listed.js';
-import type { LoadBook } from './loadbook.js';
-import type { Choosing } from './choosing.js';
-import type { TownView } from './townview.js';
+import type { ModelServerClient } from './modelserverclient.js';
+import type { RetryBudget } from './retrybudget.js';
+import type { ServerClocks } from './serverclocks.js';
+import type { AdmissionController } from './admissioncontroller.js';
+import type { ListedServer } from './listedserver.js';
+import type { InFlightLoads } from './inflightloads.js';
+import type { ServerPicker } from './serverpicker.js';
+import type { InventoryView } from './inventoryview.js';
 import type { Queue } from './queue.js';
-import type { LedgerAccess } from './witnessing.js';
+import type { LedgerAccess } from './ledgeraccess.js';
 
 /** Dependencies of the request runner. */
-export type RunTools = {
+export type RequestRunnerDependencies = {
   world: World;
-  admission: Admitting;
+  admission: AdmissionController;
   /** Requests that wait at admission. */
   queue: ReturnType<typeof Queue.make>;
   /** Requests that have a handle and wait for a decode server. */
   decodeQueue: ReturnType<typeof Queue.make>;
   /** Picks the servers for prefill and decode. */
-  choice: Choosing;
-  loads: LoadBook;
+  choice: ServerPicker;
+  loads: InFlightLoads;
   /** Server inventory of the platform. */
-  town: TownView;
+  town: InventoryView;
   /** Clocks of the model servers. */
-  hails: Hailing;
+  hails: ServerClocks;
   /** Client of the request ledger. */
   witness: LedgerAccess;
-  retryBudget: ReturnType<typeof Bucket.make>;
+  retryBudget: ReturnType<typeof RetryBudget.make>;
   /** Client of the model servers. */
-  back: Back;
+  back: ModelServerClient;
   /** Reports a server that did not reply. */
-  sighted: (server: Listed) => void;
+  sighted: (server: ListedServer) => void;
   /** Grants turns to queued requests for which there is capacity. */
   grantTurns: () => void;
   /** Version of the local configuration. */
--- a/packages/counter/src/requestlife.ts
+++ b/packages/counter/src/requeststatemachine.ts
@@ -5,7 +5,7 @@
  * waiting for a decode server; 'writing': decode. Before 'writing' nothing was sent to a decode server, so the request
  * provably has not run. In 'streamed' the client has received a piece, so the answer can only complete or be cut.
  */
-export const RequestLife = createMachine('waiting', {
+export const RequestStateMachine = createMachine('waiting', {
   waiting: state(transition('turn', 'marking'), transition('give', 'refused')),
   marking: state(transition('marked', 'reading'), transition('give', 'refused')),
   reading: state(transition('read', 'handing'), transition('again', 'reading'), transition('give', 'refused')),
--- a/packages/counter/src/hails.test.ts
+++ b/packages/counter/src/serverclocktable.test.ts
@@ -1,10 +1,10 @@
 import { Err, Ok, type Clock } from '@pumicebarrow/forms';
 import { expect } from 'chai';
-import type { Back } from './back.js';
-import { Hails } from './hails.js';
-import type { Listed } from './listed.js';
+import type { ModelServerClient } from './modelserverclient.js';
+import { ServerClockTable } from './serverclocktable.js';
+import type { ListedServer } from './listedserver.js';
 
-const server: Listed = { id: 'm1', addr: '10.0.0.9:1', site: 's', born: 'one', mark: 'serving' };
+const server: ListedServer = { id: 'm1', addr: '10.0.0.9:1', site: 's', born: 'one', mark: 'serving' };
 type Step =
   | ['hail', { clock: number; born?: string; takes?: number }]
   | ['silent']
@@ -72,7 +72,7 @@
       let reply: Step = ['silent'];
       const clock: Clock = { mono: () => now, wall: () => 0, after: () => () => undefined };
       const back = {
-        state: () => {
+        fetchState: () => {
           if (reply[0] !== 'hail') return Promise.resolve(Err({ ran: 'maybe', code: 'broken', dark: true, why: '' }));
           now += reply[1].takes ?? 0;
           const incarnation = reply[1].born ?? 'one';
@@ -89,8 +89,8 @@
             }),
           );
         },
-      } as unknown as Back;
-      const clocks = Hails.make(
+      } as unknown as ModelServerClient;
+      const clocks = ServerClockTable.make(
         clock,
         back,
         () => [server],
@@ -98,11 +98,11 @@
       );
       for (const step of steps) {
         if (step[0] === 'wait') now += step[1];
-        else if (step[0] === 'drop') clocks.drop();
+        else if (step[0] === 'drop') clocks.forgetAll();
         else if (step[0] === 'bound') expect(clocks.bound(server, step[1])?.by ?? null).to.equal(step[2]);
         else {
           reply = step;
-          await clocks.ask(server, 500);
+          await clocks.probe(server, 500);
         }
       }
     });
@@ -110,19 +110,19 @@
   it('a probe during which the daemon was suspended is ignored', async () => {
     let answer: (v: unknown) => void = () => undefined;
     const back = {
-      state: () =>
+      fetchState: () =>
         new Promise((done) => {
           answer = done;
         }),
-    } as unknown as Back;
-    const clocks = Hails.make(
+    } as unknown as ModelServerClient;
+    const clocks = ServerClockTable.make(
       { mono: () => 0, wall: () => 0, after: () => () => undefined },
       back,
       () => [server],
       () => undefined,
     );
-    const probe = clocks.ask(server, 500);
-    clocks.drop();
+    const probe = clocks.probe(server, 500);
+    clocks.forgetAll();
     answer(Ok({ id: 'm1', born: 'one', part: 'none', stage: 'serving', fence: 0, step: 0, busy: 0, clock: 5 }));
     await probe;
     expect(clocks.isKnown(server)).to.equal(false);
--- a/packages/counter/src/hails.ts
+++ b/packages/counter/src/serverclocktable.ts
@@ -1,9 +1,9 @@
 import { Timer, type Clock, type Result } from '@pumicebarrow/forms';
-import type { Back } from './back.js';
-import type { BackFault } from './backfault.js';
-import type { BackState } from './backstate.js';
-import type { Bound } from './bound.js';
-import type { Listed } from './listed.js';
+import type { ModelServerClient } from './modelserverclient.js';
+import type { ModelServerFault } from './modelserverfault.js';
+import type { ModelServerState } from './modelserverstate.js';
+import type { ExecutionBound } from './executionbound.js';
+import type { ListedServer } from './listedserver.js';
 
 /** A reading of a server's clock; `at` is when its reply arrived here, on this daemon's monotonic clock. */
 type Reading = { born: string; clock: number; at: number };
@@ -17,19 +17,22 @@
  * Invariants: `at` is no earlier than the instant at which the server read `clock`, so a translated deadline is never
  * later than intended; after a suspension of this daemon no reading is valid until the next exchange.
  */
-export const Hails = {
-  make(clock: Clock, back: Back, listed: () => readonly Listed[], checkSuspension: () => void) {
+export const ServerClockTable = {
+  make(clock: Clock, back: ModelServerClient, listed: () => readonly ListedServer[], checkSuspension: () => void) {
     let readings: ReadonlyMap<string, Reading> = new Map();
     const probing = new Set<string>();
     let resets = 0;
     let stop: () => void = () => undefined;
-    const validReading = (server: Listed): Reading | null => {
+    const validReading = (server: ListedServer): Reading | null => {
       const reading = readings.get(server.id);
       return reading && reading.born === server.born && clock.mono() - reading.at < MAX_AGE_MS ? reading : null;
     };
-    const probeServer = async (server: Listed, timeoutMs: number): Promise<Result<BackState, BackFault>> => {
+    const probeServer = async (
+      server: ListedServer,
+      timeoutMs: number,
+    ): Promise<Result<ModelServerState, ModelServerFault>> => {
       const resetsBefore = resets,
-        reply = await back.state(server.addr, timeoutMs);
+        reply = await back.fetchState(server.addr, timeoutMs);
       checkSuspension();
       if (reply.ok && resetsBefore === resets)
         readings = new Map(readings).set(server.id, {
@@ -39,7 +42,7 @@
         });
       return reply;
     };
-    const refresh = async (server: Listed): Promise<void> => {
+    const refresh = async (server: ListedServer): Promise<void> => {
       if (probing.has(server.id)) return;
       probing.add(server.id);
       await probeServer(server, REQUEST_TIMEOUT_MS);
@@ -64,15 +67,15 @@
       },
       tick,
       /** Asks a server for its state, and records its clock. */
-      ask: probeServer,
+      probe: probeServer,
       /** Forgets all readings, also those under way. */
-      drop(): void {
+      forgetAll(): void {
         readings = new Map();
         resets++;
       },
-      isKnown: (server: Listed): boolean => validReading(server) !== null,
+      isKnown: (server: ListedServer): boolean => validReading(server) !== null,
       /** The bound of a request that must not start after `until` on this daemon's clock; null if there is none. */
-      bound(server: Listed, until: number): Bound | null {
+      bound(server: ListedServer, until: number): ExecutionBound | null {
         checkSuspension();
         const reading = validReading(server);
         return reading && until > clock.mono() ? { born: server.born, by: reading.clock + (until - reading.at) } : null;
--- a/packages/counter/src/casting.ts
+++ b/packages/counter/src/stageassigner.ts
@@ -1,31 +1,31 @@
-import { Order, type World } from '@pumicebarrow/forms';
-import type { Purging } from '@pumicebarrow/purge';
-import type { SheetRow } from '@pumicebarrow/registry';
-import type { Back } from './back.js';
-import type { Duties } from './duties.js';
-import type { Hailing } from './hailing.js';
-import type { Listed } from './listed.js';
-import type { SheetView } from './sheetview.js';
-import { Target } from './target.js';
-import type { TownView } from './townview.js';
+import { VersionOrder, type World } from '@pumicebarrow/forms';
+import type { GossipNode } from '@pumicebarrow/purge';
+import type { StageAssignment } from '@pumicebarrow/registry';
+import type { ModelServerClient } from './modelserverclient.js';
+import type { DaemonLeases } from './daemonleases.js';
+import type { ServerClocks } from './serverclocks.js';
+import type { ListedServer } from './listedserver.js';
+import type { FleetRecordsView } from './fleetrecordsview.js';
+import { StageTarget } from './stagetarget.js';
+import type { InventoryView } from './inventoryview.js';
 
 type Dependencies = {
   /** Readings of the servers' clocks, by which deadlines are translated. */
-  hails: Hailing;
+  hails: ServerClocks;
   world: World;
   /** Configuration and stage assignments. */
-  sheet: SheetView;
+  sheet: FleetRecordsView;
   /** Backend inventory. */
-  town: TownView;
+  town: InventoryView;
   /** Named leases held by this daemon. */
-  duty: Duties;
+  duty: DaemonLeases;
   /** Gossip by which assignments are published. */
-  purge: Purging;
+  purge: GossipNode;
   /** Client of the model servers. */
-  back: Back;
+  back: ModelServerClient;
   self: () => string;
   /** Whether this daemon's own requests have seen the server fail lately. */
-  suspect: (server: Listed) => boolean;
+  isSuspected: (server: ListedServer) => boolean;
 };
 const REQUEST_TIMEOUT_MS = 500;
 /** A draining server is switched after this time even if it still runs requests. */
@@ -39,7 +39,7 @@
  * switched. The holder of a server's lease probes it about once a second; after a probe without a reply it probes at
  * every tick, and marks the server dark (unreachable) after two in a row.
  */
-export const Casting = {
+export const StageAssigner = {
   make(deps: Dependencies) {
     const inProgress = new Set<string>();
     const missedProbes = new Map<string, number>();
@@ -49,65 +49,65 @@
     let drainStarts = new Map<string, number>();
     const log = deps.world.log('cast');
 
-    const publishAssignment = (fence: number, row: SheetRow): boolean => {
-      const mark = Order.next(deps.sheet.rows().get(row.server)?.stamp, fence);
+    const publishAssignment = (fence: number, row: StageAssignment): boolean => {
+      const mark = VersionOrder.next(deps.sheet.assignments().get(row.server)?.stamp, fence);
       return mark !== null && deps.purge.publish({ name: `row:${row.server}`, mark, body: row });
     };
-    const orderStage = async (server: Listed, part: SheetRow['part']): Promise<void> => {
+    const orderStage = async (server: ListedServer, part: StageAssignment['part']): Promise<void> => {
       const fence = deps.duty.fence(`row:${server.id}`);
       const bound = deps.hails.bound(
         server,
         Math.min(deps.duty.expiresAt(`row:${server.id}`), now() + REQUEST_TIMEOUT_MS),
       );
-      if (fence === null || !bound || !deps.town.good(server.id, server.born)) return;
-      const previous = deps.sheet.rows().get(server.id)?.stamp;
+      if (fence === null || !bound || !deps.town.findServing(server.id, server.born)) return;
+      const previous = deps.sheet.assignments().get(server.id)?.stamp;
       const step = previous && previous[0] === fence ? previous[1] + 1 : 0;
-      deps.world.tell({ what: 'order', server: server.id, part, fence, step });
-      const reply = await deps.back.order(
+      deps.world.recordEvent({ what: 'order', server: server.id, part, fence, step });
+      const reply = await deps.back.setStage(
         server.addr,
         { fence, step, part, stage: 'serving', who: deps.self(), ...bound },
         REQUEST_TIMEOUT_MS,
       );
       if (reply.ok && reply.val.born === server.born && reply.val.part === part) {
-        log.say(`Assigned ${server.id} to ${part}.`);
+        log.info(`Assigned ${server.id} to ${part}.`);
         publishAssignment(fence, { server: server.id, born: server.born, part, stage: 'serving', by: deps.self() });
       }
     };
-    const probe = async (server: Listed): Promise<boolean> => {
+    const probe = async (server: ListedServer): Promise<boolean> => {
       lastProbeAt.set(server.id, now());
-      const reply = await deps.hails.ask(server, REQUEST_TIMEOUT_MS);
+      const reply = await deps.hails.probe(server, REQUEST_TIMEOUT_MS);
       const healthy = reply.ok && reply.val.born === server.born;
       missedProbes.set(server.id, healthy ? 0 : (missedProbes.get(server.id) ?? 0) + 1);
       return healthy;
     };
     /** Serving servers that are not marked dark, with the stage to which each is assigned. */
-    const liveServers = (): { id: string; part: SheetRow['part'] | null }[] => {
-      const rows = deps.sheet.rows();
+    const liveServers = (): { id: string; part: StageAssignment['part'] | null }[] => {
+      const rows = deps.sheet.assignments();
       return deps.town
         .all()
         .filter((s) => s.mark === 'serving')
         .flatMap((s) => {
-          const row = rows.get(s.id)?.row;
+          const row = rows.get(s.id)?.assignment;
           if (row && row.born === s.born && row.stage === 'dark') return [];
           return [{ id: s.id, part: row ? row.part : null }];
         });
     };
     /** Checks one server and moves its assignment a step towards the target. */
-    const reconcile = async (server: Listed): Promise<void> => {
-      const configuration = deps.sheet.charter(),
+    const reconcile = async (server: ListedServer): Promise<void> => {
+      const configuration = deps.sheet.configuration(),
         fence = deps.duty.fence(`row:${server.id}`);
       if (!configuration || fence === null) return;
-      const row = deps.sheet.rows().get(server.id)?.row;
+      const row = deps.sheet.assignments().get(server.id)?.assignment;
       const live = liveServers();
       const prefillCount = live.filter((l) => l.part === 'prefill').length,
         decodeCount = live.filter((l) => l.part === 'decode').length;
       const belowFloor =
         prefillCount < configuration.casting.floor.prefill || decodeCount < configuration.casting.floor.decode;
-      const otherDraining = [...deps.sheet.rows().values()].some(
-        (r) => r.row.stage === 'draining' && r.row.server !== server.id,
+      const otherDraining = [...deps.sheet.assignments().values()].some(
+        (r) => r.assignment.stage === 'draining' && r.assignment.server !== server.id,
       );
       const maySwitch = !otherDraining && (belowFloor || now() - lastSwitchAt > configuration.casting.calm);
-      const target = Target.part(
+      const target = StageTarget.stageFor(
         configuration,
         deps.sheet.mix()?.prefill ?? configuration.casting.prefill,
         live,
@@ -127,7 +127,7 @@
         missed = (missedProbes.get(server.id) ?? 0) > 0;
       const probeDue = now() - (lastProbeAt.get(server.id) ?? -Infinity) > PROBE_INTERVAL_MS;
       if (
-        (report?.born === server.born || deps.suspect(server) || missed || probeDue) &&
+        (report?.born === server.born || deps.isSuspected(server) || missed || probeDue) &&
         !(await probe(server)) &&
         (missedProbes.get(server.id) ?? 0) >= 2
       ) {
@@ -138,7 +138,7 @@
       if (row.stage === 'draining') {
         const drainStart = drainStarts.get(server.id) ?? now();
         drainStarts = new Map(drainStarts).set(server.id, drainStart);
-        const status = await deps.hails.ask(server, REQUEST_TIMEOUT_MS);
+        const status = await deps.hails.probe(server, REQUEST_TIMEOUT_MS);
         if (!status.ok || (status.val.busy > 0 && now() - drainStart < DRAIN_TIMEOUT_MS)) return;
         const otherStage = row.part === 'prefill' ? 'decode' : 'prefill';
         // A switch that has not succeeded within twice the drain timeout is given up if there is a target.
@@ -149,16 +149,16 @@
         return;
       }
       if (target !== null && target !== row.part) {
-        log.say(`Draining ${server.id} to switch it to ${target}.`);
-        deps.world.tell({ what: 'swap', server: server.id, part: target });
+        log.info(`Draining ${server.id} to switch it to ${target}.`);
+        deps.world.recordEvent({ what: 'swap', server: server.id, part: target });
         publishAssignment(fence, { ...row, stage: 'draining', by: deps.self() });
       }
     };
     return {
       /** Names of the leases needed, one per configured server. */
-      names: (): string[] => (deps.sheet.charter()?.servers ?? []).map((s) => `row:${s.id}`),
+      leaseNames: (): string[] => (deps.sheet.configuration()?.servers ?? []).map((s) => `row:${s.id}`),
       /** Called when a server has changed its stage: restarts the pause between switches, whoever ordered it. */
-      noted(): void {
+      onStageChange(): void {
         lastSwitchAt = now();
       },
       async tick(): Promise<void> {
--- a/packages/counter/src/mixer.ts
+++ b/packages/counter/src/stagebalancer.ts
@@ -1,9 +1,9 @@
 import type { World } from '@pumicebarrow/forms';
-import type { Purging } from '@pumicebarrow/purge';
-import type { Duties } from './duties.js';
-import type { SheetView } from './sheetview.js';
-import { Target } from './target.js';
-import type { TownView } from './townview.js';
+import type { GossipNode } from '@pumicebarrow/purge';
+import type { DaemonLeases } from './daemonleases.js';
+import type { FleetRecordsView } from './fleetrecordsview.js';
+import { StageTarget } from './stagetarget.js';
+import type { InventoryView } from './inventoryview.js';
 
 /** Weight of requests that want or use a server, by stage: `read` is prefill, `write` is decode. */
 type Load = { read: number; write: number };
@@ -22,17 +22,17 @@
  * the configured `calm` period; so it settles under a steady load. A change that reverts the previous one waits twice
  * as long.
  */
-export const Mixer = {
+export const StageBalancer = {
   make(deps: {
     world: World;
     /** Configuration and stage assignments. */
-    sheet: SheetView;
+    sheet: FleetRecordsView;
     /** Backend inventory. */
-    town: TownView;
+    town: InventoryView;
     /** Named leases held by this daemon. */
-    duty: Duties;
+    duty: DaemonLeases;
     /** Gossip by which the target is published. */
-    purge: Purging;
+    purge: GossipNode;
     /** Load of the whole fleet. */
     load: () => Load;
     self: () => string;
@@ -43,17 +43,17 @@
     let lastDirection = 0;
     return {
       /** Name of the lease under which the target is published. */
-      name: 'mix',
+      leaseName: 'mix',
       tick(): void {
-        const configuration = deps.sheet.charter(),
+        const configuration = deps.sheet.configuration(),
           fence = deps.duty.fence('mix');
         if (!configuration || fence === null || !configuration.casting.swing) {
           trend = 0;
           return;
         }
-        const rows = [...deps.sheet.rows().values()]
-          .map((r) => r.row)
-          .filter((r) => r.stage !== 'dark' && deps.town.good(r.server, r.born));
+        const rows = [...deps.sheet.assignments().values()]
+          .map((r) => r.assignment)
+          .filter((r) => r.stage !== 'dark' && deps.town.findServing(r.server, r.born));
         const slotsOf = (stage: string): number =>
           rows
             .filter((r) => r.part === stage)
@@ -82,7 +82,7 @@
         if (Math.abs(trend) < MIN_CONSECUTIVE_TICKS || deps.world.clock.mono() - lastChangeAt < pauseMs) return;
         const currentCount = deps.sheet.mix()?.prefill ?? configuration.casting.prefill;
         const direction = Math.sign(trend),
-          nextCount = Target.prefillCount(configuration, currentCount + direction, rows.length);
+          nextCount = StageTarget.prefillCount(configuration, currentCount + direction, rows.length);
         trend = 0;
         if (nextCount === currentCount) return;
         lastChangeAt = deps.world.clock.mono();
@@ -90,7 +90,7 @@
         const previous = deps.sheet.stamp('mix');
         const step = previous && previous[0] === fence ? previous[1] + 1 : 0;
         deps.purge.publish({ name: 'mix', mark: [fence, step], body: { prefill: nextCount, by: deps.self() } });
-        deps.world.tell({ what: 'mix', prefill: nextCount });
+        deps.world.recordEvent({ what: 'mix', prefill: nextCount });
       },
     };
   },
--- a/packages/counter/src/orderslip.ts
+++ b/packages/counter/src/stageorder.ts
@@ -4,7 +4,7 @@
  * Orders a server to run a stage. A server that has seen a higher (fence, step), or whose clock has passed `by`,
  * rejects it.
  */
-export const OrderSlip = Type.Object(
+export const StageOrder = Type.Object(
   {
     /** Fencing token of the sender's lease. */
     fence: Type.Integer({ minimum: 1 }),
@@ -21,4 +21,4 @@
   },
   { additionalProperties: false },
 );
-export type OrderSlip = Static<typeof OrderSlip>;
+export type StageOrder = Static<typeof StageOrder>;
--- a/packages/counter/src/target.test.ts
+++ b/packages/counter/src/stagetarget.test.ts
@@ -1,10 +1,10 @@
-import type { Charter } from '@pumicebarrow/forms';
+import type { FleetConfiguration } from '@pumicebarrow/forms';
 import { expect } from 'chai';
-import { Target } from './target.js';
+import { StageTarget } from './stagetarget.js';
 
 type Stage = 'prefill' | 'decode';
 const ids = ['m1', 'm2', 'm3', 'm4', 'm5', 'm6'];
-const configuration = (fixed: Record<string, Stage> = {}): Charter => ({
+const configuration = (fixed: Record<string, Stage> = {}): FleetConfiguration => ({
   sites: ['s'],
   rules: [],
   servers: ids.map((id) => ({ id, site: 's', part: fixed[id] ?? 'either', slots: 4 })),
@@ -32,7 +32,7 @@
     it(`assigns stages: ${name}`, () => {
       const config = configuration(fixed),
         servers = live(stages);
-      const next = servers.map((l) => Target.part(config, wanted, servers, l.id, maySwitch));
+      const next = servers.map((l) => StageTarget.stageFor(config, wanted, servers, l.id, maySwitch));
       expect(next.filter((p) => p === 'prefill').length).to.equal(expected.prefill);
       expect(next.filter((p, i) => servers[i]!.part !== null && p !== servers[i]!.part).length).to.equal(
         expected.switched,
@@ -40,5 +40,5 @@
     });
   }
   it('assigns nothing to a server that is not configured', () =>
-    expect(Target.part(configuration(), 2, [{ id: 'zz', part: null }], 'zz', true)).to.equal(null));
+    expect(StageTarget.stageFor(configuration(), 2, [{ id: 'zz', part: null }], 'zz', true)).to.equal(null));
 });
--- a/packages/counter/src/target.ts
+++ b/packages/counter/src/stagetarget.ts
@@ -1,4 +1,4 @@
-import { Lot, type Charter } from '@pumicebarrow/forms';
+import { RendezvousHash, type FleetConfiguration } from '@pumicebarrow/forms';
 
 type Stage = 'prefill' | 'decode';
 type LiveServer = { id: string; part: Stage | null };
@@ -7,15 +7,15 @@
  * Computes which stage a server should run. Pure, so that every lease holder comes to the same result from the same
  * records. Invariants: no result takes a stage below its floor; at most one server at a time is told to switch.
  */
-export const Target = {
+export const StageTarget = {
   /** The wanted number of prefill servers, limited by the floors of both stages. */
-  prefillCount(configuration: Charter, wanted: number, live: number): number {
+  prefillCount(configuration: FleetConfiguration, wanted: number, live: number): number {
     const max = Math.max(configuration.casting.floor.prefill, live - configuration.casting.floor.decode);
     return Math.min(Math.max(wanted, configuration.casting.floor.prefill), max);
   },
   /** The stage that the server should run; null if it is not live or not configured. */
-  part(
-    configuration: Charter,
+  stageFor(
+    configuration: FleetConfiguration,
     wanted: number,
     live: readonly LiveServer[],
     id: string,
@@ -27,8 +27,8 @@
       allowed = allowedStage(id);
     if (!self || allowed === null) return null;
     if (allowed !== 'either') return allowed;
-    const targetCount = Target.prefillCount(configuration, wanted, live.length);
-    const ranked = Lot.rank(
+    const targetCount = StageTarget.prefillCount(configuration, wanted, live.length);
+    const ranked = RendezvousHash.rank(
       'cast',
       live.filter((l) => allowedStage(l.id) !== null),
       (l) => l.id,
--- a/packages/counter/src/machines.test.ts
+++ b/packages/counter/src/statemachines.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import { interpret, type Machine } from 'robot3';
-import { DaemonLife } from './daemonlife.js';
-import { RequestLife } from './requestlife.js';
+import { DaemonStateMachine } from './daemonstatemachine.js';
+import { RequestStateMachine } from './requeststatemachine.js';
 
 const stateAfter = (machine: Machine, events: string[]): string => {
   const service = interpret(machine, () => undefined);
@@ -38,9 +38,9 @@
 
 describe('RequestLife', () => {
   for (const [events, state] of requests)
-    it(`${events} leads to ${state}`, () => expect(stateAfter(RequestLife, events.split(' '))).to.equal(state));
+    it(`${events} leads to ${state}`, () => expect(stateAfter(RequestStateMachine, events.split(' '))).to.equal(state));
 });
 describe('DaemonLife', () => {
   for (const [events, state] of lives)
-    it(`${events} leads to ${state}`, () => expect(stateAfter(DaemonLife, events.split(' '))).to.equal(state));
+    it(`${events} leads to ${state}`, () => expect(stateAfter(DaemonStateMachine, events.split(' '))).to.equal(state));
 });
--- a/packages/counter/src/streamcheck.test.ts
+++ b/packages/counter/src/streamvalidator.test.ts
@@ -1,23 +1,23 @@
 import { expect } from 'chai';
 import { createHash } from 'node:crypto';
-import type { Piece } from './piece.js';
-import { StreamValidator } from './streamcheck.js';
+import type { DecodeStreamLine } from './decodestreamline.js';
+import { StreamValidator } from './streamvalidator.js';
 
 const base = { key: 'k', attempt: 1, born: 'b' };
-const piece = (n: number, more: object = {}): Piece => ({ ...base, n, text: `t${n}`, ...more });
+const piece = (n: number, more: object = {}): DecodeStreamLine => ({ ...base, n, text: `t${n}`, ...more });
 const digest = (n: number): string => {
   const hash = createHash('sha256');
   for (let i = 1; i <= n; i++) hash.update(`${i}:t${i}\n`);
   return hash.digest('hex').slice(0, 24);
 };
-const end = (count: number, more: object = {}): Piece => ({
+const end = (count: number, more: object = {}): DecodeStreamLine => ({
   ...base,
   end: true,
   count,
   digest: digest(count),
   ...more,
 });
-const cases: [string, Piece[], boolean][] = [
+const cases: [string, DecodeStreamLine[], boolean][] = [
   ['a complete stream', [piece(1), piece(2), end(2)], true],
   ['an empty stream with its end', [end(0)], true],
   ['a gap', [piece(1), piece(3)], false],
--- a/packages/counter/src/streamcheck.ts
+++ b/packages/counter/src/streamvalidator.ts
@@ -1,5 +1,5 @@
 import { createHash } from 'node:crypto';
-import type { Piece } from './piece.js';
+import type { DecodeStreamLine } from './decodestreamline.js';
 
 type ExpectedStream = { key: string; attempt: number; born: string };
 type CheckResult =
@@ -17,18 +17,17 @@
     return {
       count: (): number => lastPiece,
       hasEnded: (): boolean => ended,
-      check(line: Piece): CheckResult {
-        if (ended) return { ok: false, reason: 'sent a line after the end' };
+      check(line: DecodeStreamLine): CheckResult {
+        if (ended) return { ok: false, reason: 'a line came after the end' };
         if (line.key !== expected.key || line.attempt !== expected.attempt)
-          return { ok: false, reason: 'sent a line of another request' };
-        if (line.born !== expected.born)
-          return { ok: false, reason: 'sent a line of another incarnation of the server' };
+          return { ok: false, reason: 'a line of another request' };
+        if (line.born !== expected.born) return { ok: false, reason: 'a line of another life of the server' };
         if ('end' in line) {
           ended = true;
           const digest = hash.digest('hex').slice(0, 24);
           if (line.count !== lastPiece)
-            return { ok: false, reason: `the end counts ${line.count} pieces, ${lastPiece} were received` };
-          if (line.digest !== digest) return { ok: false, reason: 'the digest at the end does not match' };
+            return { ok: false, reason: `the end counts ${line.count} pieces, ${lastPiece} came` };
+          if (line.digest !== digest) return { ok: false, reason: 'the end has another digest' };
           return { ok: true, end: { count: lastPiece, digest } };
         }
         if (line.n !== lastPiece + 1) return { ok: false, reason: `piece ${line.n} came after piece ${lastPiece}` };
