--- a/packages/counter/src/pump.ts
+++ b/packages/counter/src/turngranter.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '@pumicebarrow/forms';
-import type { RunTools } from './runtools.js';
+import type { RequestRunnerDependencies } from './requestrunnerdependencies.js';
 
-type Dependencies = Pick<RunTools, 'admission' | 'queue' | 'decodeQueue' | 'choice' | 'loads'> & {
+type Dependencies = Pick<RequestRunnerDependencies, 'admission' | 'queue' | 'decodeQueue' | 'choice' | 'loads'> & {
   clock: Clock;
   serving: () => boolean;
 };
@@ -14,14 +14,14 @@
   make(deps: Dependencies): () => void {
     return () => {
       const reservations: (() => void)[] = [];
-      deps.queue.pump((route) => {
-        if (!deps.serving() || !deps.admission.room(route)) return false;
-        reservations.push(deps.loads.take('*turn', route.weight));
+      deps.queue.grantTurns((route) => {
+        if (!deps.serving() || !deps.admission.hasRoom(route)) return false;
+        reservations.push(deps.loads.reserve('*turn', route.weight));
         return true;
       });
-      deps.decodeQueue.pump((route) => {
-        if (!deps.choice.roomy('decode', route, '*hand')) return false;
-        reservations.push(deps.loads.take('*hand', route.weight));
+      deps.decodeQueue.grantTurns((route) => {
+        if (!deps.choice.hasRoom('decode', route, '*hand')) return false;
+        reservations.push(deps.loads.reserve('*hand', route.weight));
         return true;
       });
       if (reservations.length === 0) return;
--- a/packages/counterd/src/main.ts
+++ b/packages/counterd/src/main.ts
@@ -1,7 +1,14 @@
-import { Counter, Front, Gauges, HttpBack, HttpTown, RequestMeter } from '@pumicebarrow/counter';
-import type { CallerSink, Request } from '@pumicebarrow/counter';
-import { Machine, Meters, Program } from '@pumicebarrow/forms';
-import { Tuned } from '@pumicebarrow/purge';
+import {
+  Counter,
+  CounterHttpServer,
+  CounterGauges,
+  HttpModelServerClient,
+  HttpInventorySource,
+  RequestMetrics,
+} from '@pumicebarrow/counter';
+import type { ResponseWriter, ClientRequest } from '@pumicebarrow/counter';
+import { ProductionWorld, MetricsRegistry, Program } from '@pumicebarrow/forms';
+import { GossipDefaults } from '@pumicebarrow/purge';
 import { Settings } from './settings.js';
 
 /** Command-line options. */
@@ -20,42 +27,59 @@
 /** Entry point of counterd: runs a counter daemon with the real clock, network and model servers. */
 export const Main = {
   async run(argv: readonly string[]): Promise<void> {
-    const settings = await Program.settings('counterd', 'a counter daemon of pumicebarrow', OPTIONS, Settings, argv);
+    const settings = await Program.readSettings(
+      'counterd',
+      'a counter daemon of pumicebarrow',
+      OPTIONS,
+      Settings,
+      argv,
+    );
     try {
-      const world = await Machine.make(settings.id, settings.hear ?? settings.addr, settings.level ?? 'info', null);
-      const modelServers = HttpBack.make(),
-        inventory = HttpTown.make(settings.town);
-      const metrics = Meters.make();
-      const requestMetrics = RequestMeter.make(metrics, world.clock.mono);
+      const world = await ProductionWorld.make(
+        settings.id,
+        settings.hear ?? settings.addr,
+        settings.level ?? 'info',
+        null,
+      );
+      const modelServers = HttpModelServerClient.make(),
+        inventory = HttpInventorySource.make(settings.town);
+      const metrics = MetricsRegistry.make();
+      const requestMetrics = RequestMetrics.make(metrics, world.clock.mono);
       const daemon = Counter.make(
-        requestMetrics.listen(world),
+        requestMetrics.countEvents(world),
         {
           id: settings.id,
           addr: settings.addr,
           site: settings.site,
           seeds: settings.seeds,
           control: settings.control ?? false,
-          tunes: { ...Tuned, ...settings.purge },
+          tunes: { ...GossipDefaults, ...settings.purge },
         },
         modelServers,
         inventory,
       );
-      Gauges.make(metrics, daemon, world.clock.mono);
+      CounterGauges.make(metrics, daemon, world.clock.mono);
       const measuredDaemon = {
         ...daemon,
-        request: (request: Request, writer: CallerSink) =>
-          daemon.request(request, requestMetrics.timed(request, writer)),
+        request: (request: ClientRequest, writer: ResponseWriter) =>
+          daemon.request(request, requestMetrics.timePieces(request, writer)),
       };
-      const httpServer = await Front.make(world, measuredDaemon, settings.control ?? false, settings.http, metrics);
+      const httpServer = await CounterHttpServer.make(
+        world,
+        measuredDaemon,
+        settings.control ?? false,
+        settings.http,
+        metrics,
+      );
       daemon.start();
-      Program.until(async () => {
+      Program.onTermination(async () => {
         await daemon.leave(settings.grace ?? 8000);
         daemon.stop();
         await httpServer.close();
         await Promise.all([modelServers.close(), inventory.close(), world.wire.close()]);
       });
     } catch (e) {
-      Program.failed('counterd', e);
+      Program.exitFailed('counterd', e);
     }
   },
 };
--- a/packages/counterd/src/settings.ts
+++ b/packages/counterd/src/settings.ts
@@ -1,5 +1,5 @@
 import { Addr, Zone } from '@pumicebarrow/forms';
-import { Tunes } from '@pumicebarrow/purge';
+import { GossipSettings } from '@pumicebarrow/purge';
 import { Type, type Static } from 'typebox';
 
 /** Settings of counterd. */
@@ -25,7 +25,7 @@
     /** Time in ms to finish requests at shutdown. */
     grace: Type.Optional(Type.Integer({ minimum: 0, maximum: 600000 })),
     /** Gossip settings that differ from the defaults. */
-    purge: Type.Optional(Type.Partial(Tunes)),
+    purge: Type.Optional(Type.Partial(GossipSettings)),
   },
   { additionalProperties: false },
 );
--- a/packages/forms/src/clock.ts
+++ b/packages/forms/src/clock.ts
@@ -10,5 +10,5 @@
   /** Calls `fn` once after `ms`; the returned function cancels the timer. */
   after(ms: number, fn: () => void): () => void;
   /** Like `after`, for recurring tasks: the time may shift slightly so that timers due close together fire together. */
-  beat?(ms: number, fn: () => void): () => void;
+  afterCoalesced?(ms: number, fn: () => void): () => void;
 };
--- a/packages/forms/src/beatclock.test.ts
+++ b/packages/forms/src/coalescingclock.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { BeatClock } from './beatclock.js';
+import { CoalescingClock } from './coalescingclock.js';
 import type { Clock } from './clock.js';
 import { Timer } from './timer.js';
 
@@ -50,14 +50,14 @@
 describe('CoalescingClock', () => {
   it('wakes an idle daemon at most ten times per second, fewer than its tasks would without it', async () => {
     const separate = await simulate((c) => c);
-    const coalesced = await simulate((c) => BeatClock.make(c, 100));
+    const coalesced = await simulate((c) => CoalescingClock.make(c, 100));
     expect(separate.at.length).to.be.above(150);
     // Rounding up to whole ms may separate two timers that are due at the same grid point.
     const gridPoints = new Set(coalesced.at.map((t) => Math.round(t / 10)));
     expect(gridPoints.size).to.be.at.most(100);
   });
   it('runs each task about as often as its period requires', async () => {
-    const { runs } = await simulate((c) => BeatClock.make(c, 100));
+    const { runs } = await simulate((c) => CoalescingClock.make(c, 100));
     TASK_PERIODS_MS.forEach((ms, i) => expect(runs[i]).to.be.within((SPAN_MS / ms) * 0.8, (SPAN_MS / ms) * 1.25 + 1));
   });
 });
--- a/packages/forms/src/clauses.test.ts
+++ b/packages/forms/src/configurationvalidator.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { Clauses } from './clauses.js';
+import { ConfigurationValidator } from './configurationvalidator.js';
 
 const validConfiguration = () => ({
   sites: ['s1', 's2'],
@@ -85,7 +85,7 @@
     it(`reports the paths of the faults in ${name}`, () => {
       const c = validConfiguration() as Draft;
       change(c);
-      const parsed = Clauses.read(c);
+      const parsed = ConfigurationValidator.parse(c);
       expect(parsed.ok ? [] : parsed.val.map((f) => f.path)).to.deep.equal(paths);
     });
   }
--- a/packages/forms/src/clauses.ts
+++ b/packages/forms/src/configurationvalidator.ts
@@ -1,32 +1,34 @@
-import { Charter } from './charter.js';
-import { Check } from './check.js';
+import { FleetConfiguration } from './fleetconfiguration.js';
+import { SchemaCheck } from './schemacheck.js';
 import { Err } from './err.js';
 import type { Fault } from './fault.js';
-import type { Intent } from './intent.js';
-import { Intents } from './intents.js';
-import { LendingValidator } from './lendingclauses.js';
+import type { Configuration } from './configuration.js';
+import { Configurations } from './configurations.js';
+import { LendingValidator } from './lendingvalidator.js';
 import { Ok } from './ok.js';
 import type { Result } from './result.js';
-import { RoutingValidator } from './routingclauses.js';
+import { RoutingValidator } from './routingvalidator.js';
 import { Routing } from './routing.js';
 
 const duplicates = (names: readonly string[], path: (i: number) => string): Fault[] =>
   names.flatMap((name, i) => (names.indexOf(name) < i ? [{ path: path(i), why: `names ${name} again` }] : []));
 
 /** Validates a configuration of either form: first against its schema, then for references between its parts. */
-export const Clauses = {
-  read(v: unknown): Result<Intent, Fault[]> {
-    const parsed: Result<Intent, Fault[]> = Intents.isRouting(v) ? Check.parse(Routing, v) : Check.parse(Charter, v);
+export const ConfigurationValidator = {
+  parse(v: unknown): Result<Configuration, Fault[]> {
+    const parsed: Result<Configuration, Fault[]> = Configurations.isRouting(v)
+      ? SchemaCheck.parse(Routing, v)
+      : SchemaCheck.parse(FleetConfiguration, v);
     if (parsed.err) return parsed;
-    const faults = Clauses.faults(parsed.val);
+    const faults = ConfigurationValidator.faults(parsed.val);
     return faults.length > 0 ? Err(faults) : Ok(parsed.val);
   },
   /** The faults of a configuration that matches its schema. */
-  faults(c: Intent): Fault[] {
-    return 'routes' in c ? RoutingValidator.faults(c) : Clauses.fleetFaults(c);
+  faults(c: Configuration): Fault[] {
+    return 'routes' in c ? RoutingValidator.faults(c) : ConfigurationValidator.fleetFaults(c);
   },
   /** The faults of a `FleetConfiguration` that matches its schema. */
-  fleetFaults(c: Charter): Fault[] {
+  fleetFaults(c: FleetConfiguration): Fault[] {
     const faults: Fault[] = [
       ...duplicates(c.sites, (i) => `/sites/${i}`),
       ...duplicates(
@@ -56,14 +58,14 @@
       if (capable(stage) < c.casting.floor[stage])
         faults.push({
           path: `/casting/floor/${stage}`,
-          why: `requires ${c.casting.floor[stage]} servers but only ${capable(stage)} can run ${stage}`,
+          why: `asks for ${c.casting.floor[stage]} but ${capable(stage)} servers can ${stage}`,
         });
     }
     if (c.casting.floor.prefill + c.casting.floor.decode > c.servers.length) {
-      faults.push({ path: '/casting/floor', why: 'requires more servers than are listed' });
+      faults.push({ path: '/casting/floor', why: 'asks for more servers than there are' });
     }
     if (c.casting.prefill < c.casting.floor.prefill)
-      faults.push({ path: '/casting/prefill', why: 'is below the floor of prefill' });
+      faults.push({ path: '/casting/prefill', why: 'is below its floor' });
     if (c.servers.length - c.casting.prefill < c.casting.floor.decode)
       faults.push({ path: '/casting/prefill', why: 'leaves decode below its floor' });
     return [...faults, ...LendingValidator.faults(c)];
--- a/packages/forms/src/webhost.ts
+++ b/packages/forms/src/daemonhttp.ts
@@ -1,14 +1,14 @@
 import type { Polka } from 'polka';
-import type { Metering } from './metering.js';
+import type { Metrics } from './metrics.js';
 
 const METRICS_HEADERS = { 'content-type': 'text/plain; version=0.0.4; charset=utf-8' };
 
 /** The HTTP functions that all daemons share. */
-export const WebHost = {
+export const DaemonHttp = {
   /** Serves the daemon's metrics at /metrics. */
-  metrics(app: Polka, metrics: Metering): void {
+  serveMetrics(app: Polka, metrics: Metrics): void {
     app.get('/metrics', (_req, res) => {
-      void metrics.text().then((text) => {
+      void metrics.render().then((text) => {
         res.writeHead(200, METRICS_HEADERS);
         res.end(text);
       });
--- a/packages/forms/src/disk.ts
+++ b/packages/forms/src/disk.ts
@@ -11,7 +11,7 @@
    * The newest intact version `n` of a kind with its value `v`; null if the kind has no file. `bad` is set if a newer
    * file is damaged; if all files are damaged, `v` is null. Reading changes nothing on disk.
    */
-  last(kind: string): Promise<Result<{ n: number; v: unknown; bad: boolean } | null, string>>;
+  latest(kind: string): Promise<Result<{ n: number; v: unknown; bad: boolean } | null, string>>;
   /** Renames all current files out of the way of later versions, starting with those that identify the owner. */
-  aside(): Promise<Result<void, string>>;
+  setAside(): Promise<Result<void, string>>;
 };
--- a/packages/forms/src/doc.ts
+++ b/packages/forms/src/doc.ts
@@ -1,12 +1,12 @@
 import { Type, type Static } from 'typebox';
-import { Mark } from './mark.js';
+import { VersionStamp } from './versionstamp.js';
 
 /** One version of one shared record, with its content. Immutable once created. */
 export const Doc = Type.Object(
   {
     name: Type.String({ minLength: 1, maxLength: 80 }),
     /** The version stamp. */
-    mark: Mark,
+    mark: VersionStamp,
     body: Type.Unknown(),
   },
   { additionalProperties: false },
--- a/packages/forms/src/fading.ts
+++ b/packages/forms/src/expiringmap.ts
@@ -4,7 +4,7 @@
  * A map whose entries expire. Invariants: an expired entry is never returned; at most `maxEntries` are kept, and the
  * entry that was set longest ago is evicted first.
  */
-export const Fading = {
+export const ExpiringMap = {
   make<V>(mono: () => number, maxEntries: number) {
     const entries = new Map<string, Entry<V>>();
     const evict = (): void => {
@@ -26,7 +26,7 @@
         return entry && entry.expiresAt > mono() ? entry.value : undefined;
       },
       delete: (key: string): boolean => entries.delete(key),
-      all: (): V[] => [...entries.values()].filter((entry) => entry.expiresAt > mono()).map((entry) => entry.value),
+      values: (): V[] => [...entries.values()].filter((entry) => entry.expiresAt > mono()).map((entry) => entry.value),
       /** The number of entries kept, expired ones included. */
       size: (): number => entries.size,
     };
--- a/packages/forms/src/filedisk.test.ts
+++ b/packages/forms/src/filedisk.test.ts
@@ -14,7 +14,7 @@
   it('reads the newest version and keeps two', async () => {
     const disk = await FileDisk.make(dir);
     for (let n = 1; n <= 5; n++) expect((await disk.put('state', n, { n })).ok).to.equal(true);
-    const latest = await disk.last('state');
+    const latest = await disk.latest('state');
     expect(latest.val).to.deep.equal({ n: 5, v: { n: 5 }, bad: false });
     expect((await readdir(dir)).sort()).to.deep.equal(['state.4.json', 'state.5.json']);
   });
@@ -24,9 +24,9 @@
     await disk.put('vote', 2, { a: 2 });
     const path = join(dir, 'vote.2.json');
     await writeFile(path, (await readFile(path, 'utf8')).slice(0, 20));
-    expect((await disk.last('vote')).val).to.deep.equal({ n: 1, v: { a: 1 }, bad: true });
-    expect((await disk.last('vote')).val, 'reading changes nothing').to.deep.equal({ n: 1, v: { a: 1 }, bad: true });
-    expect((await disk.aside()).ok).to.equal(true);
+    expect((await disk.latest('vote')).val).to.deep.equal({ n: 1, v: { a: 1 }, bad: true });
+    expect((await disk.latest('vote')).val, 'reading changes nothing').to.deep.equal({ n: 1, v: { a: 1 }, bad: true });
+    expect((await disk.setAside()).ok).to.equal(true);
     expect((await readdir(dir)).sort()).to.deep.equal(['aside.1.vote.1.json', 'aside.1.vote.2.json']);
   });
   it('detects a version whose content was altered', async () => {
@@ -34,11 +34,11 @@
     await disk.put('self', 1, { born: 'one' });
     const path = join(dir, 'self.1.json');
     await writeFile(path, (await readFile(path, 'utf8')).replace('one', 'two'));
-    expect((await disk.last('self')).val).to.deep.equal({ n: 1, v: null, bad: true });
+    expect((await disk.latest('self')).val).to.deep.equal({ n: 1, v: null, bad: true });
   });
   it('ignores a temporary file that was never renamed', async () => {
     const disk = await FileDisk.make(dir);
     await writeFile(join(dir, 'view.9.json.tmp'), '{');
-    expect((await disk.last('view')).val).to.equal(null);
+    expect((await disk.latest('view')).val).to.equal(null);
   });
 });
--- a/packages/forms/src/filedisk.ts
+++ b/packages/forms/src/filedisk.ts
@@ -23,7 +23,7 @@
 const decode = (text: string): { v: unknown } | null => {
   try {
     const file = JSON.parse(text) as { sum: string; text: string };
-    return Hash.text(file.text) === file.sum ? { v: JSON.parse(file.text) as unknown } : null;
+    return Hash.ofText(file.text) === file.sum ? { v: JSON.parse(file.text) as unknown } : null;
   } catch {
     return null;
   }
@@ -37,8 +37,8 @@
  * still identifies its owner has all its other files.
  */
 export const FileDisk = {
-  make: async (dir: string): Promise<Disk> => FileDisk.over(await RealFolder.make(dir)),
-  over(folder: Folder): Disk {
+  make: async (dir: string): Promise<Disk> => FileDisk.onFolder(await RealFolder.make(dir)),
+  onFolder(folder: Folder): Disk {
     /** The versions of a kind that have a file, newest first. */
     const versionsOf = async (kind: string): Promise<number[]> =>
       (await folder.list())
@@ -59,13 +59,13 @@
         toResult(async () => {
           const name = `${kind}.${newVersion}.json`,
             text = JSON.stringify(value);
-          await folder.write(`${name}.tmp`, JSON.stringify({ sum: Hash.text(text), text }));
-          await folder.sync(`${name}.tmp`);
+          await folder.write(`${name}.tmp`, JSON.stringify({ sum: Hash.ofText(text), text }));
+          await folder.syncFile(`${name}.tmp`);
           await folder.rename(`${name}.tmp`, name);
-          await folder.settle();
+          await folder.syncFolder();
           await removeOld(kind, newVersion).catch(() => undefined);
         }),
-      last: (kind) =>
+      latest: (kind) =>
         toResult(async () => {
           const versions = await versionsOf(kind);
           for (const [i, n] of versions.entries()) {
@@ -74,7 +74,7 @@
           }
           return versions.length > 0 ? { n: versions[0]!, v: null, bad: true } : null;
         }),
-      aside: () =>
+      setAside: () =>
         toResult(async () => {
           const files = await folder.list();
           const generation = 1 + files.reduce((a, f) => Math.max(a, Number(/^aside\.(\d+)\./.exec(f)?.[1] ?? 0)), 0);
@@ -82,7 +82,7 @@
           const ownerFiles = current.filter((f) => f.startsWith(`${OWNER_KIND}.`));
           for (const batch of [ownerFiles, current.filter((f) => !ownerFiles.includes(f))]) {
             for (const f of batch) await folder.rename(f, `aside.${generation}.${f}`);
-            await folder.settle();
+            await folder.syncFolder();
           }
         }),
     };
--- a/packages/forms/src/charter.ts
+++ b/packages/forms/src/fleetconfiguration.ts
@@ -1,17 +1,17 @@
 import { Type, type Static } from 'typebox';
 import { Lending } from './lending.js';
-import { Rule } from './rule.js';
+import { NamedRoute } from './namedroute.js';
 
 /**
  * The configuration of a fleet whose servers are listed in it and whose routes callers choose by name.
  * Invariant: a configuration in force has passed `ConfigurationValidator.faults`.
  */
-export const Charter = Type.Object(
+export const FleetConfiguration = Type.Object(
   {
     /** The zones. */
     sites: Type.Array(Type.String({ minLength: 1, maxLength: 40 }), { minItems: 1, maxItems: 64 }),
     /** The named routes. */
-    rules: Type.Array(Rule, { minItems: 1, maxItems: 64 }),
+    rules: Type.Array(NamedRoute, { minItems: 1, maxItems: 64 }),
     fallback: Type.Optional(Type.String({ description: 'the rule for requests that name none' })),
     servers: Type.Array(
       Type.Object(
@@ -49,4 +49,4 @@
   },
   { additionalProperties: false },
 );
-export type Charter = Static<typeof Charter>;
+export type FleetConfiguration = Static<typeof FleetConfiguration>;
--- a/packages/forms/src/folder.ts
+++ b/packages/forms/src/folder.ts
@@ -9,8 +9,8 @@
   list(): Promise<string[]>;
   read(name: string): Promise<string>;
   write(name: string, text: string): Promise<void>;
-  sync(name: string): Promise<void>;
+  syncFile(name: string): Promise<void>;
   rename(from: string, to: string): Promise<void>;
   remove(name: string): Promise<void>;
-  settle(): Promise<void>;
+  syncFolder(): Promise<void>;
 };
--- a/packages/forms/src/framer.ts
+++ b/packages/forms/src/framer.ts
@@ -1,5 +1,5 @@
 import type { Socket } from 'node:net';
-import { Check } from './check.js';
+import { SchemaCheck } from './schemacheck.js';
 import { Frame } from './frame.js';
 
 const MAX_LINE_BYTES = 8 * 1024 * 1024;
@@ -25,7 +25,7 @@
       } catch {
         return fail('received a line that is not JSON');
       }
-      if (!Check.is(Frame, v)) return fail('received a line that is not a valid frame');
+      if (!SchemaCheck.matches(Frame, v)) return fail('received a line that is not a valid frame');
       onFrame(v as Frame);
     };
     sock.on('data', (data: Buffer) => {
--- a/packages/forms/src/deed.ts
+++ b/packages/forms/src/historyevent.ts
@@ -1,5 +1,5 @@
 /** One event of a run's history, read by the consistency checker and the tracer. Daemons never read it back. */
-export type Deed = {
+export type HistoryEvent = {
   /** The kind of event. */
   what: string;
   /** The daemon that recorded it. */
--- a/packages/forms/src/lendingclauses.test.ts
+++ b/packages/forms/src/lendingvalidator.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { Clauses } from './clauses.js';
+import { ConfigurationValidator } from './configurationvalidator.js';
 
 const route = (name: string, urgency: number, pieces = 8) => ({
   ...{ name, urgency, pieces, weight: 1, limit: 5, waitlist: 5, deadline: 2000, bytes: 1000 },
@@ -36,7 +36,7 @@
     it(`reports the paths of the faults in ${name}`, () => {
       const c = validConfiguration();
       change(c);
-      const parsed = Clauses.read(c);
+      const parsed = ConfigurationValidator.parse(c);
       expect(parsed.ok ? [] : parsed.val.map((f) => f.path)).to.deep.equal(paths);
     });
   }
--- a/packages/forms/src/log.ts
+++ b/packages/forms/src/log.ts
@@ -1,2 +1,2 @@
 /** A logger of one component; the component's name is added to each line. */
-export type Log = { say(text: string): void; warn(text: string): void };
+export type Log = { info(text: string): void; warn(text: string): void };
--- a/packages/forms/src/logs.ts
+++ b/packages/forms/src/logs.ts
@@ -18,7 +18,7 @@
       transports: [new winston.transports.Console({ stderrLevels: ['error', 'warn', 'info'] })],
     });
     return (component) => ({
-      say: (text) => {
+      info: (text) => {
         logger.info(text, { part: component });
       },
       warn: (text) => {
@@ -27,5 +27,5 @@
     });
   },
   /** A logger that discards everything. */
-  quiet: (): Log => ({ say: () => undefined, warn: () => undefined }),
+  silent: (): Log => ({ info: () => undefined, warn: () => undefined }),
 };
--- a/packages/forms/src/loopdelay.test.ts
+++ b/packages/forms/src/loopdelay.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import type { Log } from './log.js';
 import { LoopDelay } from './loopdelay.js';
-import { RealClock } from './realclock.js';
+import { SystemClock } from './systemclock.js';
 
 const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 const blockLoop = (ms: number): void => {
@@ -12,8 +12,8 @@
 describe('LoopDelay', () => {
   it('measures a blocked event loop, warns once and keeps the longest delay', async () => {
     const warnings: string[] = [];
-    const log: Log = { say: () => undefined, warn: (text) => void warnings.push(text) };
-    const delay = LoopDelay.start(RealClock.make(), log, 300);
+    const log: Log = { info: () => undefined, warn: (text) => void warnings.push(text) };
+    const delay = LoopDelay.start(SystemClock.make(), log, 300);
     const value = (name: string): number => delay.families().find((f) => f.name === name)!.samples[0]!.value;
     await sleep(120);
     blockLoop(500);
--- a/packages/forms/src/loopdelay.ts
+++ b/packages/forms/src/loopdelay.ts
@@ -38,8 +38,8 @@
     });
     return {
       families: (): MetricFamily[] => [
-        gauge('event_loop_delay_ms', 'delay of the event loop in the last 5 s, 99th percentile', recent),
-        gauge('event_loop_delay_max_ms', 'longest delay of the event loop since the start', longest),
+        gauge('event_loop_delay_ms', 'lateness of the event loop in the last 5 s, 99th percentile', recent),
+        gauge('event_loop_delay_max_ms', 'longest lateness of the event loop since the start', longest),
       ],
       /** Ends the current period early. */
       summarize,
--- a/packages/forms/src/mail.ts
+++ b/packages/forms/src/message.ts
@@ -2,7 +2,7 @@
 import { Ident } from './ident.js';
 
 /** A message from one daemon to another. */
-export const Mail = Type.Object(
+export const Message = Type.Object(
   {
     /**
      * The protocol version of the sender. Daemons of adjacent releases may differ by one; a newer release may only add
@@ -17,4 +17,4 @@
   },
   { additionalProperties: false },
 );
-export type Mail = Static<typeof Mail>;
+export type Message = Static<typeof Message>;
--- a/packages/forms/src/post.test.ts
+++ b/packages/forms/src/messaging.test.ts
@@ -2,14 +2,14 @@
 import { Type } from 'typebox';
 import type { Ident } from './ident.js';
 import { Logs } from './logs.js';
-import type { Mail } from './mail.js';
+import type { Message } from './message.js';
 import { Ok } from './ok.js';
-import { Post } from './post.js';
+import { Messaging } from './messaging.js';
 import type { World } from './world.js';
 
 const me: Ident = { id: 'me', born: 'b', addr: '127.0.0.1:1', site: 's', role: 'counter' };
 const schema = Type.Object({ n: Type.Integer() }, { additionalProperties: false });
-const cases: [string, Partial<Mail>, unknown][] = [
+const cases: [string, Partial<Message>, unknown][] = [
   ['a message for this daemon', {}, { n: 2 }],
   ['a message for whichever daemon has the address', { to: '' }, { n: 2 }],
   ['a message for another daemon', { to: 'other' }, null],
@@ -26,17 +26,17 @@
 describe('Messaging', () => {
   for (const [name, change, want] of cases) {
     it(`${want === null ? 'refuses' : 'accepts'} ${name}`, async () => {
-      let deliver: (m: Mail) => Promise<unknown> = () => Promise.resolve(null);
+      let deliver: (m: Message) => Promise<unknown> = () => Promise.resolve(null);
       const world = {
         wire: {
-          hear: (fn: typeof deliver) => {
+          onMessage: (fn: typeof deliver) => {
             deliver = fn;
           },
           ask: () => Promise.resolve(Ok(null)),
         },
-        log: Logs.quiet,
+        log: Logs.silent,
       } as unknown as World;
-      Post.make(world, () => me).on('add', schema, (b) => ({ n: b.n + 1 }));
+      Messaging.make(world, () => me).on('add', schema, (b) => ({ n: b.n + 1 }));
       const reply = await deliver({
         v: 5,
         to: 'me',
@@ -49,18 +49,18 @@
     });
   }
   it('sends no reply to a one-way message, but refuses an invalid one', async () => {
-    let deliver: (m: Mail) => Promise<unknown> = () => Promise.resolve(null);
+    let deliver: (m: Message) => Promise<unknown> = () => Promise.resolve(null);
     const world = {
       wire: {
-        hear: (fn: typeof deliver) => {
+        onMessage: (fn: typeof deliver) => {
           deliver = fn;
         },
       },
-      log: Logs.quiet,
+      log: Logs.silent,
     } as unknown as World;
     const received: number[] = [];
-    Post.make(world, () => me).heed('news', schema, (b) => void received.push(b.n));
-    const message: Mail = { v: 4, to: 'me', from: { ...me, id: 'you' }, kind: 'news', body: { n: 1 } };
+    Messaging.make(world, () => me).onTell('news', schema, (b) => void received.push(b.n));
+    const message: Message = { v: 4, to: 'me', from: { ...me, id: 'you' }, kind: 'news', body: { n: 1 } };
     expect(await deliver(message)).to.equal(undefined);
     expect(await deliver({ ...message, body: {} })).to.equal(null);
     expect(received).to.deep.equal([1]);
--- a/packages/forms/src/post.ts
+++ b/packages/forms/src/messaging.ts
@@ -1,12 +1,12 @@
 import type { Static, TSchema } from 'typebox';
-import { Check } from './check.js';
+import { SchemaCheck } from './schemacheck.js';
 import { Err } from './err.js';
 import type { Ident } from './ident.js';
-import type { Mail } from './mail.js';
+import type { Message } from './message.js';
 import { Ok } from './ok.js';
-import type { PostBox } from './postbox.js';
+import type { Messenger } from './messenger.js';
 import type { Result } from './result.js';
-import type { WireFault } from './wirefault.js';
+import type { RequestError } from './requesterror.js';
 import type { World } from './world.js';
 
 /**
@@ -23,13 +23,13 @@
  * messages of our own or the previous protocol version; they are removed from messages of the next version and from
  * replies.
  */
-export const Post = {
-  make(world: World, self: () => Ident): PostBox {
+export const Messaging = {
+  make(world: World, self: () => Ident): Messenger {
     const handlers = new Map<string, Handler>();
     const log = world.log('post');
     let closed = false;
     // A reply of null refuses the message.
-    world.wire.hear(async (mail) => {
+    world.wire.onMessage(async (mail) => {
       const me = self();
       if (closed) return null;
       if (mail.to !== '' && mail.to !== me.id) {
@@ -45,9 +45,9 @@
         log.warn(`Refused message ${mail.kind} of unsupported protocol version ${mail.v}.`);
         return null;
       }
-      const body = Check.parse(
+      const body = SchemaCheck.parse(
         handler.schema,
-        mail.v > PROTOCOL_VERSION ? Check.withoutUnknownKeys(handler.schema, mail.body) : mail.body,
+        mail.v > PROTOCOL_VERSION ? SchemaCheck.withoutUnknownKeys(handler.schema, mail.body) : mail.body,
       );
       if (body.err) {
         log.warn(`Refused invalid message ${mail.kind} from ${mail.from.id}.`);
@@ -60,7 +60,7 @@
       on<S extends TSchema>(kind: string, schema: S, fn: (body: NoInfer<Static<S>>, from: Ident) => unknown): void {
         handlers.set(kind, { schema, fn, oneWay: false });
       },
-      heed<S extends TSchema>(kind: string, schema: S, fn: (body: NoInfer<Static<S>>, from: Ident) => void): void {
+      onTell<S extends TSchema>(kind: string, schema: S, fn: (body: NoInfer<Static<S>>, from: Ident) => void): void {
         handlers.set(kind, { schema, fn, oneWay: true });
       },
       tell(addr: string, to: string, kind: string, body: unknown): void {
@@ -73,12 +73,12 @@
         body: unknown,
         schema: S,
         ms: number,
-      ): Promise<Result<NoInfer<Static<S>>, WireFault>> {
-        const message: Mail = { v: PROTOCOL_VERSION, to, from: self(), kind, body };
+      ): Promise<Result<NoInfer<Static<S>>, RequestError>> {
+        const message: Message = { v: PROTOCOL_VERSION, to, from: self(), kind, body };
         const reply = await world.wire.ask(addr, message, ms);
         if (reply.err) return reply;
         if (reply.val === null) return Err('wrong');
-        const parsed = Check.parseLenient(schema, reply.val);
+        const parsed = SchemaCheck.parseLenient(schema, reply.val);
         if (parsed.err) {
           log.warn(`Received an invalid reply to ${kind} from ${addr}.`);
           return Err('wrong');
--- /dev/null
+++ b/packages/forms/src/metrics.ts
@@ -0,0 +1,4 @@
+import type { MetricsRegistry } from './metricsregistry.js';
+
+/** The metrics of one daemon. */
+export type Metrics = ReturnType<typeof MetricsRegistry.make>;
--- a/packages/forms/src/metricstext.test.ts
+++ b/packages/forms/src/metricstext.test.ts
@@ -3,7 +3,7 @@
 
 describe('MetricsText', () => {
   it('renders a header per metric and a line per sample, with label values escaped', () => {
-    const text = MetricsText.of([
+    const text = MetricsText.render([
       {
         ...{ name: 'runs_total', help: 'runs by outcome', kind: 'counter' },
         samples: [
--- a/packages/forms/src/metricstext.ts
+++ b/packages/forms/src/metricstext.ts
@@ -14,7 +14,7 @@
  * client library.
  */
 export const MetricsText = {
-  of: (families: readonly MetricFamily[]): string =>
+  render: (families: readonly MetricFamily[]): string =>
     families
       .map((family) => {
         const name = PREFIX + family.name;
--- a/packages/forms/src/rule.ts
+++ b/packages/forms/src/namedroute.ts
@@ -1,7 +1,7 @@
 import { Type, type Static } from 'typebox';
 
 /** A route that callers choose by name: how its requests are admitted, queued and limited. */
-export const Rule = Type.Object(
+export const NamedRoute = Type.Object(
   {
     name: Type.String({ minLength: 1, maxLength: 40 }),
     weight: Type.Number({
@@ -23,4 +23,4 @@
   },
   { additionalProperties: false },
 );
-export type Rule = Static<typeof Rule>;
+export type NamedRoute = Static<typeof NamedRoute>;
--- a/packages/forms/src/note.ts
+++ b/packages/forms/src/notice.ts
@@ -1,12 +1,12 @@
 import { Type, type Static } from 'typebox';
-import { Mark } from './mark.js';
+import { VersionStamp } from './versionstamp.js';
 
 /** A notice, spread by gossip, that a shared record has a new version. */
 export const Notice = Type.Object(
   {
     name: Type.String({ minLength: 1, maxLength: 80 }),
     /** The stamp of the new version, by which versions are ordered. */
-    date: Mark,
+    date: VersionStamp,
     /** Monotonic ms since the notice was written, added up hop by hop. */
     age: Type.Number({ minimum: 0 }),
     /** The daemon that wrote the notice. */
--- a/packages/forms/src/machine.ts
+++ b/packages/forms/src/productionworld.ts
@@ -1,13 +1,13 @@
-import type { Deed } from './deed.js';
+import type { HistoryEvent } from './historyevent.js';
 import type { Disk } from './disk.js';
 import { Logs } from './logs.js';
-import { RealClock } from './realclock.js';
+import { SystemClock } from './systemclock.js';
 import { TcpWire } from './tcpwire.js';
 import type { Wire } from './wire.js';
 import type { World } from './world.js';
 
 /** The environment of a daemon on a real machine. */
-export const Machine = {
+export const ProductionWorld = {
   /** Listens for messages at `addr`. Events of the run are logged at level `debug` only. */
   async make(
     id: string,
@@ -18,13 +18,13 @@
     const log = Logs.make(id, level);
     const eventLog = log('deed');
     return {
-      clock: RealClock.make(),
-      chance: { real: () => Math.random() },
+      clock: SystemClock.make(),
+      random: { real: () => Math.random() },
       wire: await TcpWire.make(addr, log('wire')),
       disk,
       log,
-      tell: (event: Omit<Deed, 'who' | 'at'>) => {
-        if (level === 'debug') eventLog.say(JSON.stringify(event));
+      recordEvent: (event: Omit<HistoryEvent, 'who' | 'at'>) => {
+        if (level === 'debug') eventLog.info(JSON.stringify(event));
       },
     };
   },
--- a/packages/forms/src/program.ts
+++ b/packages/forms/src/program.ts
@@ -8,12 +8,12 @@
 /** Starting and ending a command-line program. */
 export const Program = {
   /** Prints one line per fault and exits with code 2. */
-  wrong(program: string, faults: readonly Fault[]): never {
+  exitInvalid(program: string, faults: readonly Fault[]): never {
     for (const fault of faults) process.stderr.write(`${program}: ${fault.path || '/'} ${fault.why}\n`);
     process.exit(2);
   },
   /** Reads the settings from file and flags; exits if they are invalid or if help was requested. */
-  async settings<S extends TSchema>(
+  async readSettings<S extends TSchema>(
     program: string,
     about: string,
     known: readonly Flag[],
@@ -26,15 +26,15 @@
       process.exit(parsed.code);
     }
     const settings = await SettingsReader.read(schema, parsed.file, parsed.flags);
-    return settings.ok ? settings.val : Program.wrong(program, settings.val);
+    return settings.ok ? settings.val : Program.exitInvalid(program, settings.val);
   },
   /** Prints the error and exits with code 1. */
-  failed(program: string, e: unknown): never {
+  exitFailed(program: string, e: unknown): never {
     process.stderr.write(`${program}: ${e instanceof Error ? e.message : String(e)}\n`);
     process.exit(1);
   },
   /** Runs `stop` once at SIGTERM or SIGINT, then exits with code 0, or 1 if `stop` failed. */
-  until(stop: () => Promise<void>): void {
+  onTermination(stop: () => Promise<void>): void {
     let stopping = false;
     const shutDown = (): void => {
       if (stopping) return;
--- a/packages/forms/src/dice.ts
+++ b/packages/forms/src/random.ts
@@ -1,9 +1,9 @@
-import type { Chance } from './chance.js';
+import type { RandomSource } from './randomsource.js';
 
 /** Random draws from a random source. */
-export const Dice = {
+export const Random = {
   /** A small seeded generator (mulberry32). */
-  seeded(seed: number): Chance {
+  seeded(seed: number): RandomSource {
     let s = seed >>> 0;
     return {
       real() {
@@ -15,22 +15,22 @@
     };
   },
   /** An integer from 0 to n - 1. */
-  int: (random: Chance, n: number): number => Math.floor(random.real() * n),
+  int: (random: RandomSource, n: number): number => Math.floor(random.real() * n),
   /** One item of the list; undefined if the list is empty. */
-  one<T>(random: Chance, list: readonly T[]): T | undefined {
-    return list[Dice.int(random, list.length)];
+  pick<T>(random: RandomSource, list: readonly T[]): T | undefined {
+    return list[Random.int(random, list.length)];
   },
   /** Up to n distinct items, all equally likely. */
-  some<T>(random: Chance, list: readonly T[], n: number): T[] {
+  sample<T>(random: RandomSource, list: readonly T[], n: number): T[] {
     const rest = [...list];
     const sample: T[] = [];
-    while (sample.length < n && rest.length > 0) sample.push(...rest.splice(Dice.int(random, rest.length), 1));
+    while (sample.length < n && rest.length > 0) sample.push(...rest.splice(Random.int(random, rest.length), 1));
     return sample;
   },
   /** An identifier of 12 hexadecimal digits. */
-  word(random: Chance): string {
+  hexId(random: RandomSource): string {
     let id = '';
-    for (let i = 0; i < 12; i++) id += Dice.int(random, 16).toString(16);
+    for (let i = 0; i < 12; i++) id += Random.int(random, 16).toString(16);
     return id;
   },
 };
--- a/packages/forms/src/realfolder.ts
+++ b/packages/forms/src/realfolder.ts
@@ -19,10 +19,10 @@
       list: () => readdir(dir),
       read: (name) => readFile(join(dir, name), 'utf8'),
       write: (name, text) => writeFile(join(dir, name), text),
-      sync: (name) => fsync(join(dir, name)),
+      syncFile: (name) => fsync(join(dir, name)),
       rename: (from, to) => rename(join(dir, from), join(dir, to)),
       remove: (name) => rm(join(dir, name), { force: true }),
-      settle: () => fsync(dir),
+      syncFolder: () => fsync(dir),
     };
   },
 };
--- a/packages/forms/src/lot.test.ts
+++ b/packages/forms/src/rendezvoushash.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { Lot } from './lot.js';
+import { RendezvousHash } from './rendezvoushash.js';
 
 describe('RendezvousHash', () => {
   const nodes = (n: number): string[] => Array.from({ length: n }, (_, i) => `m${i}`);
@@ -11,13 +11,15 @@
     [60, 6],
   ] as const)
     it(`picks of ${n} nodes the same first ${count} as the full ranking`, () => {
-      const top = (key: string): string[] => Lot.few(key, nodes(n), (x) => x, count);
+      const top = (key: string): string[] => RendezvousHash.top(key, nodes(n), (x) => x, count);
       for (let key = 0; key < 50; key++)
-        expect(top(`k${key}`)).to.deep.equal(Lot.rank(`k${key}`, nodes(n), (x) => x).slice(0, count));
+        expect(top(`k${key}`)).to.deep.equal(RendezvousHash.rank(`k${key}`, nodes(n), (x) => x).slice(0, count));
     });
   for (const n of [0, 1, 2, 9, 60])
     it(`picks of ${n} nodes the same first as the full ranking`, () => {
       for (let key = 0; key < 50; key++)
-        expect(Lot.first(`k${key}`, nodes(n), (x) => x)).to.equal(Lot.rank(`k${key}`, nodes(n), (x) => x)[0]);
+        expect(RendezvousHash.first(`k${key}`, nodes(n), (x) => x)).to.equal(
+          RendezvousHash.rank(`k${key}`, nodes(n), (x) => x)[0],
+        );
     });
 });
--- a/packages/forms/src/routingclauses.test.ts
+++ b/packages/forms/src/routingvalidator.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { Clauses } from './clauses.js';
+import { ConfigurationValidator } from './configurationvalidator.js';
 
 const route = () => ({
   ...{ name: 'r', host: 'a.example', prefix: '/', kind: 'idempotent', timeout: 1000, aim: 0, gap: 0, rank: 0 },
@@ -42,7 +42,7 @@
     it(`reports the paths of the faults in ${name}`, () => {
       const r = validRouting();
       change(r);
-      const parsed = Clauses.read(r);
+      const parsed = ConfigurationValidator.parse(r);
       expect(parsed.ok ? [] : parsed.val.map((f) => f.path)).to.deep.equal(paths);
     });
   }
--- a/packages/forms/src/routingclauses.ts
+++ b/packages/forms/src/routingvalidator.ts
@@ -1,6 +1,6 @@
 import type { Fault } from './fault.js';
 import type { Routing } from './routing.js';
-import { TenantClauses } from './tenantclauses.js';
+import { TenantValidator } from './tenantvalidator.js';
 
 /** Validates the references between the parts of a `Routing`. Host names are compared without regard to case. */
 export const RoutingValidator = {
@@ -25,9 +25,9 @@
           faults.push({ path: `/routes/${i}/split/${j}/service`, why: `names the unknown service ${share.service}` });
       });
       if (!(route.split.reduce((n, share) => n + share.weight, 0) > 0))
-        faults.push({ path: `/routes/${i}/split`, why: 'has weights that sum to 0' });
+        faults.push({ path: `/routes/${i}/split`, why: 'has weights that sum to nothing' });
     });
-    faults.push(...TenantClauses.faults(r.tenants ?? []));
+    faults.push(...TenantValidator.faults(r.tenants ?? []));
     return faults.slice(0, 50);
   },
 };
--- a/packages/forms/src/check.ts
+++ b/packages/forms/src/schemacheck.ts
@@ -20,29 +20,29 @@
       why: 'is missing',
     }));
   // An unknown key is reported at its own path as a value that the schema `false` refuses.
-  return [{ path: error.instancePath, why: error.keyword === 'boolean' ? 'is not a known key' : error.message }];
+  return [{ path: error.instancePath, why: error.keyword === 'boolean' ? 'is not known' : error.message }];
 };
 const compiledSchemas = new WeakMap<object, CompiledSchema>();
 
 /** Validates values against schemas. Each schema is compiled once. */
-export const Check = {
-  is(schema: TSchema, v: unknown): boolean {
-    return Check.compiled(schema).Check(v);
+export const SchemaCheck = {
+  matches(schema: TSchema, v: unknown): boolean {
+    return SchemaCheck.compiled(schema).Check(v);
   },
   parse<S extends TSchema>(schema: S, v: unknown): Result<NoInfer<Static<S>>, Fault[]> {
-    const compiled = Check.compiled(schema);
+    const compiled = SchemaCheck.compiled(schema);
     if (compiled.Check(v)) return Ok(v as NoInfer<Static<S>>);
     const faults = [...compiled.Errors(v)].filter((e) => e.keyword !== 'additionalProperties').flatMap(faultsOf);
-    return Err(faults.length > 0 ? faults.slice(0, 50) : [{ path: '', why: 'does not match the schema' }]);
+    return Err(faults.length > 0 ? faults.slice(0, 50) : [{ path: '', why: 'does not fit' }]);
   },
   /** Like `parse`, but removes keys that the schema does not know. */
   parseLenient<S extends TSchema>(schema: S, v: unknown): Result<NoInfer<Static<S>>, Fault[]> {
-    const parsed = Check.parse(schema, v);
-    return parsed.ok ? parsed : Check.parse(schema, Check.withoutUnknownKeys(schema, v));
+    const parsed = SchemaCheck.parse(schema, v);
+    return parsed.ok ? parsed : SchemaCheck.parse(schema, SchemaCheck.withoutUnknownKeys(schema, v));
   },
   /** The value without the keys that the schema does not know. */
   withoutUnknownKeys(schema: TSchema, v: unknown): unknown {
-    return Check.compiled(schema).Check(v) ? v : Value.Clean(schema, Value.Clone(v));
+    return SchemaCheck.compiled(schema).Check(v) ? v : Value.Clean(schema, Value.Clone(v));
   },
   /** The compiled form of a schema, from the cache if it was used before. */
   compiled(schema: TSchema): CompiledSchema {
--- a/packages/forms/src/settingsreader.ts
+++ b/packages/forms/src/settingsreader.ts
@@ -1,6 +1,6 @@
 import { access, constants, mkdir, readFile } from 'node:fs/promises';
 import type { Static, TSchema } from 'typebox';
-import { Check } from './check.js';
+import { SchemaCheck } from './schemacheck.js';
 import { Err } from './err.js';
 import type { Fault } from './fault.js';
 import { Ok } from './ok.js';
@@ -28,13 +28,13 @@
       ...(fromFile as object),
       ...Object.fromEntries(Object.entries(flags).filter(([, v]) => v !== undefined)),
     };
-    const parsed = Check.parse(schema, merged);
+    const parsed = SchemaCheck.parse(schema, merged);
     if (parsed.err) return parsed;
-    const faults = SettingsReader.ports(parsed.val);
+    const faults = SettingsReader.addressFaults(parsed.val);
     return faults.length > 0 ? Err(faults) : parsed;
   },
   /** Checks the ranges that a pattern cannot: ports up to 65535, the parts of IPv4 addresses up to 255. */
-  ports(v: unknown, path = ''): Fault[] {
+  addressFaults(v: unknown, path = ''): Fault[] {
     if (typeof v === 'string' && /^(\d{1,3}(\.\d{1,3}){3}|\[.*\]):\d{1,5}$/.test(v)) {
       const port = Number(v.slice(v.lastIndexOf(':') + 1));
       const host = v.slice(0, v.lastIndexOf(':'));
@@ -43,10 +43,10 @@
       return valid ? [] : [{ path, why: 'is not a valid IP address and port' }];
     }
     if (typeof v !== 'object' || v === null) return [];
-    return Object.entries(v).flatMap(([key, item]) => SettingsReader.ports(item, `${path}/${key}`));
+    return Object.entries(v).flatMap(([key, item]) => SettingsReader.addressFaults(item, `${path}/${key}`));
   },
   /** Creates the data folder if needed and checks that it can be written. */
-  async folder(dir: string): Promise<Result<void, Fault[]>> {
+  async ensureFolder(dir: string): Promise<Result<void, Fault[]>> {
     try {
       await mkdir(dir, { recursive: true });
       await access(dir, constants.W_OK);
--- a/packages/forms/src/awake.test.ts
+++ b/packages/forms/src/suspenddetector.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { Awake } from './awake.js';
+import { SuspendDetector } from './suspenddetector.js';
 
 const cases: [string, [number, number][], number][] = [
   [
@@ -62,13 +62,16 @@
       let mono = 0,
         wall = 1e12,
         resumptions = 0;
-      const detector = Awake.make({ mono: () => mono, wall: () => wall, after: () => () => undefined }, () => {
-        resumptions++;
-      });
+      const detector = SuspendDetector.make(
+        { mono: () => mono, wall: () => wall, after: () => () => undefined },
+        () => {
+          resumptions++;
+        },
+      );
       for (const [monoStep, wallStep] of steps) {
         mono += monoStep;
         wall += wallStep;
-        detector.look();
+        detector.check();
       }
       expect(resumptions).to.equal(want);
     });
--- a/packages/forms/src/awake.ts
+++ b/packages/forms/src/suspenddetector.ts
@@ -11,7 +11,7 @@
  * Invariant: code that is about to act on anything that expires calls `check` first, so that it cannot act on expired
  * state between the resumption and the next periodic check.
  */
-export const Awake = {
+export const SuspendDetector = {
   make(clock: Clock, onResume: () => void) {
     let lastMono = clock.mono();
     let lastWall = clock.wall();
@@ -28,7 +28,7 @@
     const tick = (): void => {
       if (stopped) return;
       check();
-      (clock.beat ?? clock.after)(CHECK_PERIOD_MS, tick);
+      (clock.afterCoalesced ?? clock.after)(CHECK_PERIOD_MS, tick);
     };
     return {
       /** Checks now and then periodically until `stop`. */
@@ -36,9 +36,9 @@
       stop: (): void => {
         stopped = true;
       },
-      look: check,
+      check,
       /** Checks now and returns the number of suspensions detected so far. */
-      slept: (): number => {
+      suspensions: (): number => {
         check();
         return suspensions;
       },
--- a/packages/forms/src/realclock.ts
+++ b/packages/forms/src/systemclock.ts
@@ -1,7 +1,7 @@
 import type { Clock } from './clock.js';
 
 /** The clock and timers of the machine. */
-export const RealClock = {
+export const SystemClock = {
   make(): Clock {
     return {
       mono: () => performance.now(),
--- a/packages/forms/src/tcplines.ts
+++ b/packages/forms/src/tcpclient.ts
@@ -5,14 +5,14 @@
 import { Ok } from './ok.js';
 import type { Result } from './result.js';
 import type { Wire } from './wire.js';
-import type { WireFault } from './wirefault.js';
+import type { RequestError } from './requesterror.js';
 
 type Connection = {
   sock: Socket;
   /** Settles with whether the connection was made. */
   ready: Promise<boolean>;
   /** The requests that wait for a reply, by sequence number. */
-  waits: Map<number, (reply: Result<unknown, WireFault>) => void>;
+  waits: Map<number, (reply: Result<unknown, RequestError>) => void>;
 };
 const splitAddress = (addr: string): { host: string; port: number } => {
   const i = addr.lastIndexOf(':');
@@ -23,7 +23,7 @@
  * The client side of the TCP transport: one connection to each peer, with many concurrent requests on it.
  * Invariant: 'unsent' is returned only if no byte of the message was written.
  */
-export const TcpLines = {
+export const TcpClient = {
   /** The host and port of an address; an IPv6 host without its brackets. */
   splitAddress,
   make(log: Log): Pick<Wire, 'ask' | 'tell'> & { close(): void } {
--- a/packages/forms/src/tcpwire.test.ts
+++ b/packages/forms/src/tcpwire.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import { connect, createServer } from 'node:net';
 import { Logs } from './logs.js';
-import type { Mail } from './mail.js';
+import type { Message } from './message.js';
 import { TcpWire } from './tcpwire.js';
 
 const freePort = (): Promise<number> =>
@@ -11,7 +11,7 @@
       server.close(() => resolve(port));
     });
   });
-const message = (kind: string, to = ''): Mail => ({
+const message = (kind: string, to = ''): Message => ({
   v: 1,
   to,
   from: { id: 'a', born: 'x', addr: '127.0.0.1:1', site: 's', role: 'counter' },
@@ -26,10 +26,10 @@
     received: unknown[] = [];
   beforeEach(async () => {
     at = `127.0.0.1:${await freePort()}`;
-    a = await TcpWire.make(`127.0.0.1:${await freePort()}`, Logs.quiet());
-    b = await TcpWire.make(at, Logs.quiet());
+    a = await TcpWire.make(`127.0.0.1:${await freePort()}`, Logs.silent());
+    b = await TcpWire.make(at, Logs.silent());
     received = [];
-    b.hear((m) => {
+    b.onMessage((m) => {
       if (m.kind === 'told') {
         received.push(m.body);
         return Promise.resolve(undefined);
--- a/packages/forms/src/tcpwire.ts
+++ b/packages/forms/src/tcpwire.ts
@@ -1,11 +1,11 @@
 import { createServer, type Server, type Socket } from 'node:net';
 import { Framer } from './framer.js';
 import type { Log } from './log.js';
-import type { Mail } from './mail.js';
-import { TcpLines } from './tcplines.js';
+import type { Message } from './message.js';
+import { TcpClient } from './tcpclient.js';
 import type { Wire } from './wire.js';
 
-type MessageHandler = (mail: Mail) => Promise<unknown>;
+type MessageHandler = (mail: Message) => Promise<unknown>;
 
 /**
  * The message transport over TCP: one connection to each peer, with many concurrent requests on it.
@@ -14,7 +14,7 @@
 export const TcpWire = {
   /** Listens at `addr`. Messages are refused until a handler is registered. */
   async make(addr: string, log: Log): Promise<Wire & { close(): Promise<void> }> {
-    const client = TcpLines.make(log);
+    const client = TcpClient.make(log);
     const accepted = new Set<Socket>();
     let handler: MessageHandler = () => Promise.resolve(null);
     const server: Server = createServer((sock) => {
@@ -43,10 +43,10 @@
     });
     await new Promise<void>((resolve, reject) => {
       server.once('error', reject);
-      server.listen({ ...TcpLines.splitAddress(addr) }, resolve);
+      server.listen({ ...TcpClient.splitAddress(addr) }, resolve);
     });
     return {
-      hear(fn) {
+      onMessage(fn) {
         handler = fn;
       },
       ask: client.ask,
--- a/packages/forms/src/tenantclauses.ts
+++ b/packages/forms/src/tenantvalidator.ts
@@ -2,7 +2,7 @@
 import type { Tenant } from './tenant.js';
 
 /** Validates that the tenants of a configuration have distinct names and share no key. */
-export const TenantClauses = {
+export const TenantValidator = {
   faults(tenants: readonly Tenant[]): Fault[] {
     const indexByName = new Map<string, number>();
     const indexByKey = new Map<string, number>();
--- a/packages/forms/src/timer.ts
+++ b/packages/forms/src/timer.ts
@@ -2,12 +2,12 @@
 
 /** Waiting, time limits and periodic tasks on a clock. */
 export const Timer = {
-  nap: (clock: Clock, ms: number): Promise<void> =>
+  sleep: (clock: Clock, ms: number): Promise<void> =>
     new Promise((resolve) => {
       clock.after(ms, resolve);
     }),
   /** Settles like `promise`, or resolves with `onTimeout()` after `ms`. */
-  within<T>(clock: Clock, ms: number, promise: Promise<T>, onTimeout: () => T): Promise<T> {
+  withTimeout<T>(clock: Clock, ms: number, promise: Promise<T>, onTimeout: () => T): Promise<T> {
     return new Promise((resolve, reject) => {
       const cancel = clock.after(ms, () => resolve(onTimeout()));
       promise.then(
@@ -24,9 +24,9 @@
   },
   /** Runs `task` repeatedly, with a pause of `ms` after each run, until the returned function is called. */
   every: (clock: Clock, ms: number, task: () => Promise<void> | void): (() => void) =>
-    Timer.paced(clock, () => ms, task),
+    Timer.everyVarying(clock, () => ms, task),
   /** Like `every`, with a pause that is computed anew after each run. */
-  paced(clock: Clock, ms: () => number, task: () => Promise<void> | void): () => void {
+  everyVarying(clock: Clock, ms: () => number, task: () => Promise<void> | void): () => void {
     let stopped = false;
     let cancel: () => void = () => undefined;
     const loop = async (): Promise<void> => {
@@ -34,7 +34,7 @@
         await task();
         if (stopped) return;
         await new Promise<void>((resolve) => {
-          cancel = (clock.beat ?? clock.after)(ms(), resolve);
+          cancel = (clock.afterCoalesced ?? clock.after)(ms(), resolve);
         });
       }
     };
--- a/packages/forms/src/verdicts.ts
+++ b/packages/forms/src/verdicts.ts
@@ -4,18 +4,18 @@
 /** Constructors of verdicts. */
 export const Verdicts = {
   /** Not executed and never will be; `after` is the number of seconds to wait before a retry. */
-  not: (code: string, why: string, after?: number): Verdict => ({
+  notRun: (code: string, why: string, after?: number): Verdict => ({
     ran: 'no',
     code,
     why,
     ...(after === undefined ? {} : { after }),
   }),
   /** May have been executed. */
-  maybe: (code: string, why: string): Verdict => ({ ran: 'maybe', code, why }),
+  maybeRun: (code: string, why: string): Verdict => ({ ran: 'maybe', code, why }),
   /** Executed. */
   ran: (code: string, why: string): Verdict => ({ ran: 'yes', code, why }),
   /** Not executed because of invalid input. */
-  bad: (faults: Fault[]): Verdict => ({
+  invalid: (faults: Fault[]): Verdict => ({
     ran: 'no',
     code: 'bad',
     why: faults.map((fault) => `${fault.path || '/'} ${fault.why}`).join('; '),
--- a/packages/purge/src/ageing.test.ts
+++ b/packages/purge/src/ageweighting.test.ts
@@ -1,6 +1,6 @@
-import { Dice } from '@pumicebarrow/forms';
+import { Random } from '@pumicebarrow/forms';
 import { expect } from 'chai';
-import { AgeWeighting } from './ageing.js';
+import { AgeWeighting } from './ageweighting.js';
 
 /** The ages of the cache in figure 4.2 of the paper. */
 const figureAges = [2, 4, 6, 8, 10, 12, 14, 16, 18, 20];
@@ -27,7 +27,7 @@
       AgeWeighting.probabilities(weighting, ages).forEach((p, i) => expect(p).to.be.closeTo(want[i]!, 1e-12));
     });
     it(`samples by those probabilities: ${name}`, () => {
-      const random = Dice.seeded(7),
+      const random = Random.seeded(7),
         hits = ages.map(() => 0),
         draws = 40_000;
       const items = ages.map((a, i) => ({ a, i }));
@@ -36,7 +36,7 @@
     });
   }
   it('samples distinct items, and all of them if there are fewer than requested', () => {
-    const sample = AgeWeighting.sample(Dice.seeded(1), [1, 2, 3], 5, (x) => x, AgeWeighting.inverseSquare, 1);
+    const sample = AgeWeighting.sample(Random.seeded(1), [1, 2, 3], 5, (x) => x, AgeWeighting.inverseSquare, 1);
     expect([...sample].sort()).to.deep.equal([1, 2, 3]);
   });
 });
--- a/packages/purge/src/ageing.ts
+++ b/packages/purge/src/ageweighting.ts
@@ -1,4 +1,4 @@
-import type { Chance } from '@pumicebarrow/forms';
+import type { RandomSource } from '@pumicebarrow/forms';
 
 type Weighting = (ages: readonly number[]) => number[];
 
@@ -22,7 +22,7 @@
   },
   /** Up to n distinct items, drawn one after another, each time by the weights of the items left. */
   sample<T>(
-    random: Chance,
+    random: RandomSource,
     list: readonly T[],
     n: number,
     ageOf: (t: T) => number,
--- a/packages/purge/src/step.ts
+++ b/packages/purge/src/arrival.ts
@@ -1,9 +1,9 @@
-import type { Mark } from '@pumicebarrow/forms';
+import type { VersionStamp } from '@pumicebarrow/forms';
 
 /** A line of the trace: how one version of a record arrived at this daemon. */
 export type Arrival = {
   name: string;
-  mark: Mark;
+  mark: VersionStamp;
   /**
    * 'origin': published here; 'sender': pulled from the sender of the notice; 'fallback': pulled from another peer;
    * 'repair': pulled after a comparison of range digests; 'catchup': learnt by other means than gossip.
--- a/packages/purge/src/diary.ts
+++ b/packages/purge/src/arrivallog.ts
@@ -1,4 +1,4 @@
-import type { Arrival } from './step.js';
+import type { Arrival } from './arrival.js';
 
 /** The latest arrivals of record versions at one daemon, oldest first. Invariant: at most `maxEntries` are kept. */
 export const ArrivalLog = {
--- a/packages/purge/src/caches.test.ts
+++ b/packages/purge/src/caches.test.ts
@@ -1,8 +1,8 @@
-import { Dice, type Clock, type Ident, type Notice } from '@pumicebarrow/forms';
+import { Random, type Clock, type Ident, type Notice } from '@pumicebarrow/forms';
 import { expect } from 'chai';
-import { PeerCache } from './idcache.js';
-import { NoticeCache } from './notecache.js';
-import { Shelf } from './shelf.js';
+import { PeerCache } from './peercache.js';
+import { NoticeCache } from './noticecache.js';
+import { InMemoryRecordStore } from './inmemoryrecordstore.js';
 
 let now = 0;
 const clock: Clock = { mono: () => now, wall: () => 0, after: () => () => undefined };
@@ -16,7 +16,7 @@
 const notice = (name: string, v: number, age = 0): Notice => ({ name, date: [v, 0], age, from: 'x', hops: 0 });
 
 describe('PeerCache', () => {
-  const make = (size: number) => PeerCache.make(clock, Dice.seeded(1), size, () => ident('me'));
+  const make = (size: number) => PeerCache.make(clock, Random.seeded(1), size, () => ident('me'));
   it('takes the peer with the oldest descriptor as partner and removes it from the view', () => {
     const cache = make(5);
     cache.merge(
@@ -70,14 +70,14 @@
 
 describe('NoticeCache', () => {
   it('keeps one notice per record, the newest, and no more than its size', () => {
-    const cache = NoticeCache.make(clock, Dice.seeded(2), 3, 100);
+    const cache = NoticeCache.make(clock, Random.seeded(2), 3, 100);
     cache.add([notice('a', 2), notice('a', 1), notice('b', 1), notice('c', 1), notice('d', 1)]);
     cache.evictExcess();
     expect(cache.all().length).to.equal(3);
     expect(cache.evicted()).to.equal(1);
   });
   it('adds the time in the cache to the age and counts hops', () => {
-    const cache = NoticeCache.make(clock, Dice.seeded(2), 3, 100);
+    const cache = NoticeCache.make(clock, Random.seeded(2), 3, 100);
     cache.add([notice('a', 1, 50)]);
     now += 25;
     expect(cache.sampleToSend(3)[0]).to.include({ age: 75, hops: 1 });
@@ -85,7 +85,7 @@
   it('evicts old notices rather than young ones', () => {
     let youngKept = 0;
     for (let s = 0; s < 200; s++) {
-      const cache = NoticeCache.make(clock, Dice.seeded(s), 1, 100);
+      const cache = NoticeCache.make(clock, Random.seeded(s), 1, 100);
       cache.add([notice('old', 1, 1000), notice('new', 1, 100)]);
       cache.evictExcess();
       if (cache.all()[0]!.name === 'new') youngKept++;
@@ -102,13 +102,13 @@
   ];
   for (const [name, mark, stored] of marks) {
     it(`${stored ? 'stores' : 'ignores'} ${name} version, and never modifies a map of records in place`, () => {
-      const store = Shelf.make(() => true);
+      const store = InMemoryRecordStore.make(() => true);
       store.offer({ name: 'charter', mark: [2, 0], body: 1 });
-      const before = store.table(),
-        sum = store.sum();
+      const before = store.records(),
+        sum = store.digest();
       expect(store.offer({ name: 'charter', mark, body: 2 })).to.equal(stored);
-      expect(store.table() !== before).to.equal(stored);
-      expect(store.sum() !== sum).to.equal(stored);
+      expect(store.records() !== before).to.equal(stored);
+      expect(store.digest() !== sum).to.equal(stored);
       expect(before.get('charter')?.body).to.equal(1);
     });
   }
--- a/packages/purge/src/chunks.ts
+++ b/packages/purge/src/chunks.ts
@@ -5,7 +5,7 @@
 /** Beyond the minimum length, one position in 2^8 = 256 is a chunk boundary. */
 const BOUNDARY_BITS = 8;
 const DIGEST_CHARS = 7;
-const GEAR_TABLE = Int32Array.from({ length: 256 }, (_, i) => Hash.num(`gear ${i}`) | 0);
+const GEAR_TABLE = Int32Array.from({ length: 256 }, (_, i) => Hash.uint32(`gear ${i}`) | 0);
 
 /**
  * Content-defined chunking with a gear hash: whether a chunk ends at a position depends on the last 32 characters, so a
@@ -30,5 +30,5 @@
     return chunks;
   },
   /** A short digest by which chunks are looked up. It may collide, so the whole text needs a digest of its own. */
-  digest: (chunk: string): string => Hash.num(chunk).toString(36).padStart(DIGEST_CHARS, '0'),
+  digest: (chunk: string): string => Hash.uint32(chunk).toString(36).padStart(DIGEST_CHARS, '0'),
 };
--- a/packages/purge/src/docpart.ts
+++ b/packages/purge/src/docdelta.ts
@@ -1,4 +1,4 @@
-import { Mark } from '@pumicebarrow/forms';
+import { VersionStamp } from '@pumicebarrow/forms';
 import { Type, type Static } from 'typebox';
 
 /**
@@ -6,10 +6,10 @@
  * requester holds.
  * Invariant: `sum` is the digest of the complete new version; a result with another digest is discarded.
  */
-export const DocPart = Type.Object(
+export const DocDelta = Type.Object(
   {
     /** The version stamp of the new version. */
-    mark: Mark,
+    mark: VersionStamp,
     sum: Type.String(),
     /** Literal texts and runs of chunks: (index of the first chunk, number of chunks). */
     pieces: Type.Array(
@@ -21,4 +21,4 @@
   },
   { additionalProperties: false },
 );
-export type DocPart = Static<typeof DocPart>;
+export type DocDelta = Static<typeof DocDelta>;
--- a/packages/purge/src/parts.test.ts
+++ b/packages/purge/src/docdeltas.test.ts
@@ -1,10 +1,20 @@
-import { Check, Err, Logs, Ok, Post, type Doc, type Ident, type Mail, type World } from '@pumicebarrow/forms';
+import {
+  SchemaCheck,
+  Err,
+  Logs,
+  Ok,
+  Messaging,
+  type Doc,
+  type Ident,
+  type Message,
+  type World,
+} from '@pumicebarrow/forms';
 import { expect } from 'chai';
 import { Type } from 'typebox';
-import type { DocPart } from './docpart.js';
-import { DocParts } from './docparts.js';
-import { DocPuller } from './pulling.js';
-import { Shelf } from './shelf.js';
+import type { DocDelta } from './docdelta.js';
+import { DocDeltas } from './docdeltas.js';
+import { DocPuller } from './docpuller.js';
+import { InMemoryRecordStore } from './inmemoryrecordstore.js';
 
 type Row = [string, number, string];
 const row = (i: number, incarnation = 0): Row => [
@@ -42,11 +52,11 @@
 describe('DocDeltas', () => {
   for (const [name, change, maxLiteral] of changes)
     it(`reproduce the new version exactly, or leave it to be sent whole, when ${name}`, () => {
-      const mine = DocParts.make(),
-        theirs = DocParts.make();
+      const mine = DocDeltas.make(),
+        theirs = DocDeltas.make();
       const old = copy(doc(1, rows(ROW_COUNT))),
         now = copy(doc(2, change(rows(ROW_COUNT))));
-      const part = theirs.part(now, mine.held(old)!);
+      const part = theirs.diff(now, mine.chunkDigests(old)!);
       if (maxLiteral === Infinity) {
         expect(part).to.equal(null);
         return;
@@ -54,16 +64,16 @@
       const literalChars = part!.pieces.reduce((n, p) => n + (typeof p === 'string' ? p.length : 0), 0);
       expect(literalChars).to.be.at.most(maxLiteral);
       expect(JSON.stringify(part).length).to.be.at.most(maxLiteral + 3000);
-      const made = mine.lay(old, copy(part!));
+      const made = mine.apply(old, copy(part!));
       expect(JSON.stringify(made)).to.equal(JSON.stringify(now));
     });
-  const good = (): { old: Doc; now: Doc; part: DocPart } => {
+  const good = (): { old: Doc; now: Doc; part: DocDelta } => {
     const old = doc(1, rows(ROW_COUNT)),
       now = doc(2, withChangedRow(rows(ROW_COUNT), 2222));
-    const deltas = DocParts.make();
-    return { old, now, part: deltas.part(now, deltas.held(old)!)! };
+    const deltas = DocDeltas.make();
+    return { old, now, part: deltas.diff(now, deltas.chunkDigests(old)!)! };
   };
-  const corruptions: [string, (p: DocPart, old: Doc) => DocPart][] = [
+  const corruptions: [string, (p: DocDelta, old: Doc) => DocDelta][] = [
     ['a run is missing', (p) => ({ ...p, pieces: p.pieces.slice(1) })],
     ['the literal text is missing', (p) => ({ ...p, pieces: p.pieces.filter((x) => typeof x !== 'string') })],
     [
@@ -83,57 +93,57 @@
   for (const [name, corrupt] of corruptions)
     it(`are not applied when ${name}`, () => {
       const { old, part } = good();
-      expect(DocParts.make().lay(old, corrupt(part, old))).to.equal(null);
+      expect(DocDeltas.make().apply(old, corrupt(part, old))).to.equal(null);
     });
   it('are not applied to another version than the one they were computed against', () => {
     const { part } = good();
-    expect(DocParts.make().lay(doc(1, rows(ROW_COUNT).slice(300)), part)).to.equal(null);
-    expect(DocParts.make().lay(doc(1, rows(3)), part)).to.equal(null);
+    expect(DocDeltas.make().apply(doc(1, rows(ROW_COUNT).slice(300)), part)).to.equal(null);
+    expect(DocDeltas.make().apply(doc(1, rows(3)), part)).to.equal(null);
   });
   it('split a version that a delta was applied to as if it had been received whole', () => {
-    const deltas = DocParts.make();
+    const deltas = DocDeltas.make();
     let old = doc(1, rows(ROW_COUNT));
     for (let i = 2; i < 20; i++) {
       const now = doc(i, withChangedRow(rows(ROW_COUNT + i), i * 241));
-      old = deltas.lay(old, DocParts.make().part(now, deltas.held(old)!)!)!;
-      expect(deltas.held(old)).to.equal(DocParts.make().held(now));
+      old = deltas.apply(old, DocDeltas.make().diff(now, deltas.chunkDigests(old)!)!)!;
+      expect(deltas.chunkDigests(old)).to.equal(DocDeltas.make().chunkDigests(now));
     }
   });
   it('split each version only once', () => {
-    const deltas = DocParts.make(),
+    const deltas = DocDeltas.make(),
       old = doc(1, rows(ROW_COUNT));
-    const before = deltas.held(old);
+    const before = deltas.chunkDigests(old);
     (old.body as { rows: Row[] }).rows.length = 0;
-    expect(deltas.held(old)).to.equal(before);
+    expect(deltas.chunkDigests(old)).to.equal(before);
   });
 });
 
 const ident = (id: string): Ident => ({ id, born: 'b', addr: `${id}:1`, site: 's', role: 'counter' });
-type MessageHandler = (m: Mail) => Promise<unknown>;
+type MessageHandler = (m: Message) => Promise<unknown>;
 /** Two daemons connected to each other; `corrupt` may change or drop (undefined) the n-th reply. */
 const pair = (mine: Doc | null, theirs: Doc | null) => {
   const handlers = new Map<string, MessageHandler>();
-  const exchanges: { mail: Mail; back: unknown }[] = [];
+  const exchanges: { mail: Message; back: unknown }[] = [];
   let corrupt: (reply: unknown, n: number) => unknown = (reply) => reply;
   const makeDaemon = (id: string, held: Doc | null) => {
     const world = {
       wire: {
-        hear: (fn: MessageHandler) => void handlers.set(`${id}:1`, fn),
-        ask: async (to: string, mail: Mail) => {
+        onMessage: (fn: MessageHandler) => void handlers.set(`${id}:1`, fn),
+        ask: async (to: string, mail: Message) => {
           const sent = copy(mail);
           const back = corrupt(copy(await handlers.get(to)!(sent)), exchanges.length);
           exchanges.push({ mail: sent, back });
           return back === undefined ? Err('lost') : Ok(back);
         },
       },
-      log: Logs.quiet,
+      log: Logs.silent,
     } as unknown as World;
-    const recordStore = Shelf.make(() => true);
+    const recordStore = InMemoryRecordStore.make(() => true);
     if (held) recordStore.offer(held);
     return {
       recordStore,
       puller: DocPuller.make(
-        Post.make(world, () => ident(id)),
+        Messaging.make(world, () => ident(id)),
         recordStore,
         400,
       ),
@@ -153,7 +163,7 @@
 const withoutDeltas = (version: number, held: Doc): MessageHandler => {
   const schema = Type.Object({ name: Type.String() }, { additionalProperties: false });
   return (m) => {
-    const body = Check.parse(schema, m.v > version ? Check.withoutUnknownKeys(schema, m.body) : m.body);
+    const body = SchemaCheck.parse(schema, m.v > version ? SchemaCheck.withoutUnknownKeys(schema, m.body) : m.body);
     return Promise.resolve(body.ok ? { doc: body.val.name === held.name ? held : null } : null);
   };
 };
@@ -213,10 +223,10 @@
   });
   it('sends the whole to a daemon of the previous release', async () => {
     const p = pair(null, after());
-    const mail: Mail = { v: 4, to: 'you', from: ident('old'), kind: 'purge.pull', body: { name: 'list' } };
+    const mail: Message = { v: 4, to: 'you', from: ident('old'), kind: 'purge.pull', body: { name: 'list' } };
     expect(await p.handlers.get('you:1')!(mail)).to.deep.equal({ doc: after() });
   });
-  type PullReply = { doc: Doc | null; part?: DocPart };
+  type PullReply = { doc: Doc | null; part?: DocDelta };
   const invalidReplies: [string, (b: PullReply) => unknown][] = [
     ['a run is missing in the delta', (b) => ({ ...b, part: { ...b.part!, pieces: b.part!.pieces.slice(1) } })],
     ['the digest of the delta is wrong', (b) => ({ ...b, part: { ...b.part!, sum: 'x' } })],
@@ -229,7 +239,7 @@
       expect(await p.pull()).to.deep.equal(after());
       expect(requestKeys(p)).to.deep.equal(['name held', 'name']);
       expect(p.me.puller.counters()).to.deep.equal({ parts: 0, again: 1 });
-      expect(p.me.recordStore.mark('list')).to.deep.equal([1, 1]);
+      expect(p.me.recordStore.stamp('list')).to.deep.equal([1, 1]);
     });
   it('does not repeat a request whose reply is lost, since another daemon can be asked', async () => {
     const p = pair(before(), after());
--- a/packages/purge/src/docparts.ts
+++ b/packages/purge/src/docdeltas.ts
@@ -1,6 +1,6 @@
-import { Hash, type Doc, type Mark } from '@pumicebarrow/forms';
+import { Hash, type Doc, type VersionStamp } from '@pumicebarrow/forms';
 import { Chunks } from './chunks.js';
-import type { DocPart } from './docpart.js';
+import type { DocDelta } from './docdelta.js';
 
 /** Records with a shorter text are always sent whole. */
 const MIN_DELTA_CHARS = 65_536;
@@ -12,10 +12,10 @@
  * Computes and applies deltas between versions of a record, by chunks of its JSON text. Each version is split once.
  * Invariant: applying a delta gives exactly the version that it was computed from, or null.
  */
-export const DocParts = {
+export const DocDeltas = {
   MIN_DELTA_CHARS,
   /** The digest of one version of a record. */
-  digest: (name: string, mark: Mark, text: string): string => Hash.text(`${name} ${mark.join(' ')} ${text}`),
+  digest: (name: string, mark: VersionStamp, text: string): string => Hash.ofText(`${name} ${mark.join(' ')} ${text}`),
   /** Records with a text shorter than `minChars` are sent whole. */
   make(minChars = MIN_DELTA_CHARS) {
     const cache = new WeakMap<Doc, ChunkedDoc | null>();
@@ -28,15 +28,15 @@
       const cached = cache.get(doc);
       if (cached !== undefined) return cached;
       const text = JSON.stringify(doc.body) ?? '';
-      const made = text.length < minChars ? null : split(text, DocParts.digest(doc.name, doc.mark, text));
+      const made = text.length < minChars ? null : split(text, DocDeltas.digest(doc.name, doc.mark, text));
       cache.set(doc, made);
       return made;
     };
     return {
       /** The digests of a record's chunks, to be sent with a request for a newer version; null if it is sent whole. */
-      held: (doc: Doc | null): string | null => (doc ? (chunked(doc)?.digests.join('') ?? null) : null),
+      chunkDigests: (doc: Doc | null): string | null => (doc ? (chunked(doc)?.digests.join('') ?? null) : null),
       /** The delta of a record against the chunks that the requester holds; null if the whole should be sent. */
-      part(doc: Doc, held: string): DocPart | null {
+      diff(doc: Doc, held: string): DocDelta | null {
         const own = chunked(doc);
         if (!own) return null;
         const indexByDigest = new Map<string, number>();
@@ -60,7 +60,7 @@
         return { mark: doc.mark, sum: own.sum, pieces };
       },
       /** The version that a delta makes of the version held; null if its digest is not that of the delta. */
-      lay(held: Doc, delta: DocPart): Doc | null {
+      apply(held: Doc, delta: DocDelta): Doc | null {
         const own = chunked(held);
         if (!own) return null;
         const chunks: string[] = [],
@@ -77,7 +77,7 @@
           );
         }
         const text = chunks.join('');
-        if (DocParts.digest(held.name, delta.mark, text) !== delta.sum) return null;
+        if (DocDeltas.digest(held.name, delta.mark, text) !== delta.sum) return null;
         const made = { name: held.name, mark: delta.mark, body: JSON.parse(text) as unknown };
         cache.set(made, text.length < minChars ? null : { chunks, digests, length: text.length, sum: delta.sum });
         return made;
--- a/packages/purge/src/pulling.ts
+++ b/packages/purge/src/docpuller.ts
@@ -1,10 +1,10 @@
-import type { Doc, PostBox, Result, WireFault } from '@pumicebarrow/forms';
+import type { Doc, Messenger, Result, RequestError } from '@pumicebarrow/forms';
 import type { Static } from 'typebox';
-import { DocParts } from './docparts.js';
-import type { Holding } from './holding.js';
-import { Slips } from './slips.js';
+import { DocDeltas } from './docdeltas.js';
+import type { RecordStore } from './recordstore.js';
+import { GossipSchemas } from './gossipschemas.js';
 
-type PullReply = Static<typeof Slips.pulled>;
+type PullReply = Static<typeof GossipSchemas.pulled>;
 
 /**
  * Pulls versions of records from other daemons and serves their pulls. A request for a long record names the chunks
@@ -13,29 +13,30 @@
  * of such a release refuses the request, the whole record is requested, once.
  */
 export const DocPuller = {
-  make(post: PostBox, recordStore: Holding, timeoutMs: number) {
-    const deltas = DocParts.make();
+  make(post: Messenger, recordStore: RecordStore, timeoutMs: number) {
+    const deltas = DocDeltas.make();
     const counters = { parts: 0, again: 0 };
     const request = (
       addr: string,
       id: string,
       body: { name: string; held?: string },
-    ): Promise<Result<PullReply, WireFault>> => post.ask(addr, id, 'purge.pull', body, Slips.pulled, timeoutMs);
-    post.on('purge.pull', Slips.pull, (body) => {
+    ): Promise<Result<PullReply, RequestError>> =>
+      post.ask(addr, id, 'purge.pull', body, GossipSchemas.pulled, timeoutMs);
+    post.on('purge.pull', GossipSchemas.pull, (body) => {
       const doc = recordStore.get(body.name);
-      const part = doc && body.held !== undefined ? deltas.part(doc, body.held) : null;
+      const part = doc && body.held !== undefined ? deltas.diff(doc, body.held) : null;
       return part ? { doc: null, part } : { doc };
     });
     return {
       /** Requests the version that a daemon holds; null if it holds none or there is no valid reply. */
       async pull(addr: string, id: string, name: string): Promise<Doc | null> {
         const own = recordStore.get(name),
-          held = deltas.held(own);
+          held = deltas.chunkDigests(own);
         if (own && held !== null) {
           const reply = await request(addr, id, { name, held });
           if (reply.err && reply.val !== 'wrong') return null;
           if (reply.ok && !reply.val.part) return reply.val.doc;
-          const doc = reply.ok ? deltas.lay(own, reply.val.part!) : null;
+          const doc = reply.ok ? deltas.apply(own, reply.val.part!) : null;
           if (doc) {
             counters.parts++;
             return doc;
--- a/packages/purge/src/purge.ts
+++ b/packages/purge/src/gossip.ts
@@ -1,14 +1,23 @@
-import { Dice, Order, Timer, type Doc, type Ident, type Notice, type PostBox, type World } from '@pumicebarrow/forms';
-import { ArrivalLog } from './diary.js';
-import type { Holding } from './holding.js';
-import { PeerCache } from './idcache.js';
-import { NoticeCache } from './notecache.js';
-import type { PeerDescriptor } from './pointer.js';
-import { DocPuller } from './pulling.js';
-import { Ranges } from './ranges.js';
-import { Slips } from './slips.js';
-import type { Arrival } from './step.js';
-import type { Tunes } from './tunes.js';
+import {
+  Random,
+  VersionOrder,
+  Timer,
+  type Doc,
+  type Ident,
+  type Notice,
+  type Messenger,
+  type World,
+} from '@pumicebarrow/forms';
+import { ArrivalLog } from './arrivallog.js';
+import type { RecordStore } from './recordstore.js';
+import { PeerCache } from './peercache.js';
+import { NoticeCache } from './noticecache.js';
+import type { PeerDescriptor } from './peerdescriptor.js';
+import { DocPuller } from './docpuller.js';
+import { RangeDigests } from './rangedigests.js';
+import { GossipSchemas } from './gossipschemas.js';
+import type { Arrival } from './arrival.js';
+import type { GossipSettings } from './gossipsettings.js';
 
 /** Every this many rounds a daemon known by other means is added to the peer cache. */
 const REJOIN_ROUNDS = 8;
@@ -20,18 +29,18 @@
  * Invariant: a daemon passes a notice on only while its record store holds that version or a newer one, so a pull from
  * the sender of a notice succeeds for as long as the sender lives.
  */
-export const Purge = {
+export const Gossip = {
   /** `seeds`: addresses to contact while no peer is known; `known`: daemons known by other means than gossip. */
   make(
     world: World,
-    post: PostBox,
+    post: Messenger,
     self: () => Ident,
-    recordStore: Holding,
-    settings: Tunes,
+    recordStore: RecordStore,
+    settings: GossipSettings,
     seeds: () => readonly string[],
     known: () => readonly Ident[] = () => [],
   ) {
-    const { clock, chance: random } = world;
+    const { clock, random } = world;
     const log = world.log('purge');
     const peerCache = PeerCache.make(clock, random, settings.ids, self);
     const noticeCache = NoticeCache.make(clock, random, settings.notes, settings.round);
@@ -45,7 +54,7 @@
     const store = (doc: Doc, arrival: Omit<Arrival, 'name' | 'mark' | 'round' | 'wall'>): boolean => {
       if (!recordStore.offer(doc)) return false;
       arrivals.add({ ...arrival, name: doc.name, mark: doc.mark, round: counters.rounds, wall: clock.wall() });
-      world.tell({
+      world.recordEvent({
         what: 'held',
         name: doc.name,
         mark: doc.mark,
@@ -64,14 +73,14 @@
      * whether the version, or a newer one, is held.
      */
     const fetch = async (notice: Notice, sender: Ident): Promise<boolean> => {
-      if (!Order.newer(notice.date, recordStore.mark(notice.name))) return true;
+      if (!VersionOrder.isNewer(notice.date, recordStore.stamp(notice.name))) return true;
       const arrival = { from: sender.id, origin: notice.from, hops: notice.hops, age: notice.age };
       const doc = await pull({ who: sender, addr: sender.addr }, notice.name);
-      if (doc && !Order.newer(notice.date, doc.mark)) {
+      if (doc && !VersionOrder.isNewer(notice.date, doc.mark)) {
         store(doc, { ...arrival, via: 'sender' });
         return true;
       }
-      const alternatives = Dice.some(
+      const alternatives = Random.sample(
         random,
         peerCache.all().filter((peer) => peer.id !== sender.id),
         3,
@@ -79,13 +88,13 @@
       for (const peer of alternatives) {
         counters.fallbacks++;
         const other = await pull({ who: peer, addr: peer.addr }, notice.name);
-        if (other && !Order.newer(notice.date, other.mark)) {
+        if (other && !VersionOrder.isNewer(notice.date, other.mark)) {
           store(other, { ...arrival, from: peer.id, via: 'fallback' });
           return true;
         }
       }
       counters.misses++;
-      return !Order.newer(notice.date, recordStore.mark(notice.name));
+      return !VersionOrder.isNewer(notice.date, recordStore.stamp(notice.name));
     };
     /** Steps 5 to 7, which are the same for the initiator and its partner. */
     const processExchange = async (
@@ -106,12 +115,12 @@
         who.addr,
         who.id,
         'purge.sums',
-        { sums: Ranges.sums(recordStore.table()) },
-        Slips.marks,
+        { sums: RangeDigests.digests(recordStore.records()) },
+        GossipSchemas.marks,
         settings.round * 4,
       );
       if (!reply.ok) return;
-      const { want, give } = Ranges.reconcile(recordStore.table(), reply.val.marks, reply.val.sums);
+      const { want, give } = RangeDigests.reconcile(recordStore.records(), reply.val.marks, reply.val.sums);
       for (const name of want) {
         const doc = await pull({ who, addr: who.addr }, name);
         if (doc && store(doc, { via: 'repair', from: who.id, origin: who.id, hops: 0, age: 0 })) {
@@ -122,12 +131,12 @@
       const newerHere = give
         .map((name) => recordStore.get(name)!)
         .map((d) => ({ name: d.name, date: d.mark, age: 0, from: self().id, hops: 0 }));
-      noticeCache.add(Dice.some(random, newerHere, settings.notes));
+      noticeCache.add(Random.sample(random, newerHere, settings.notes));
       noticeCache.evictExcess();
     };
     /** Starts a repair once the digests have differed in the configured number of consecutive exchanges. */
     const compareDigest = async (who: Ident, sum: string): Promise<void> => {
-      differingRounds = sum === recordStore.sum() ? 0 : differingRounds + 1;
+      differingRounds = sum === recordStore.digest() ? 0 : differingRounds + 1;
       if (settings.unlike > 0 && differingRounds >= settings.unlike) {
         differingRounds = 0;
         await repair(who);
@@ -137,7 +146,7 @@
     const nextPartner = (): Source | null => {
       const who = peerCache.takeOldest();
       if (who) return { who, addr: who.addr };
-      const addr = Dice.one(
+      const addr = Random.pick(
         random,
         seeds().filter((a) => a !== self().addr),
       );
@@ -146,7 +155,7 @@
     /** Adds a daemon that is known by other means but is not in the peer cache, as an introducer would. */
     const rejoin = (): void => {
       const cached = new Set(peerCache.all().map((peer) => peer.id));
-      const who = Dice.one(
+      const who = Random.pick(
         random,
         known().filter((daemon) => !cached.has(daemon.id) && daemon.id !== self().id),
       );
@@ -164,8 +173,8 @@
         partner.addr,
         partner.who?.id ?? '',
         'purge.news',
-        { ids: sentPeers, notes: notices, sum: recordStore.sum() },
-        Slips.reply,
+        { ids: sentPeers, notes: notices, sum: recordStore.digest() },
+        GossipSchemas.reply,
         settings.round * 4,
       );
       if (!reply.ok) return;
@@ -175,20 +184,20 @@
       await compareDigest(who, reply.val.sum);
     };
 
-    post.on('purge.news', Slips.news, (body, from) => {
+    post.on('purge.news', GossipSchemas.news, (body, from) => {
       const sentPeers = peerCache.replySample(settings.idLength);
       const notices = noticeCache.sampleToSend(settings.noteLength);
       void processExchange(body.notes, from, body.ids, sentPeers);
-      return { who: self(), ids: sentPeers, notes: notices, sum: recordStore.sum() };
+      return { who: self(), ids: sentPeers, notes: notices, sum: recordStore.digest() };
     });
-    post.on('purge.sums', Slips.sums, (body) => ({
-      marks: Ranges.unlike(recordStore.table(), body.sums),
-      sums: Ranges.sums(recordStore.table()),
+    post.on('purge.sums', GossipSchemas.sums, (body) => ({
+      marks: RangeDigests.differing(recordStore.records(), body.sums),
+      sums: RangeDigests.digests(recordStore.records()),
     }));
 
     return {
       start(): void {
-        log.say('Gossip started.');
+        log.info('Gossip started.');
         stop = Timer.every(clock, settings.round, runRound);
       },
       stop(): void {
@@ -207,7 +216,7 @@
         return true;
       },
       /** Adds daemons to the peer cache. */
-      meet: (daemons: readonly Ident[]): void =>
+      addPeers: (daemons: readonly Ident[]): void =>
         peerCache.merge(
           daemons.map((who) => ({ who, age: 0 })),
           [],
@@ -218,9 +227,9 @@
       peers: (): readonly Ident[] => peerCache.all(),
       notices: (): readonly Notice[] => noticeCache.all(),
       /** The latest arrivals, of all records or of one. */
-      diary: (name?: string): readonly Arrival[] => (name === undefined ? arrivals.all() : arrivals.byName(name)),
+      arrivals: (name?: string): readonly Arrival[] => (name === undefined ? arrivals.all() : arrivals.byName(name)),
       /** Totals since the start, by metric label. */
-      count: () => ({ ...counters, ...puller.counters(), evicted: noticeCache.evicted() }),
+      counters: () => ({ ...counters, ...puller.counters(), evicted: noticeCache.evicted() }),
     };
   },
 };
--- a/packages/purge/src/tunes.ts
+++ b/packages/purge/src/gossipsettings.ts
@@ -4,7 +4,7 @@
  * The parameters of the gossip protocol. The defaults are the tuned values of the paper, except for 3 notices per
  * message and the period of the rounds, which are our own.
  */
-export const Tunes = Type.Object(
+export const GossipSettings = Type.Object(
   {
     /** Size of the peer cache. */
     ids: Type.Integer({ minimum: 2, maximum: 64, default: 10 }),
@@ -25,4 +25,4 @@
   },
   { additionalProperties: false },
 );
-export type Tunes = Static<typeof Tunes>;
+export type GossipSettings = Static<typeof GossipSettings>;
--- a/packages/purge/src/notecache.ts
+++ b/packages/purge/src/noticecache.ts
@@ -1,5 +1,5 @@
-import { Order, type Chance, type Clock, type Notice } from '@pumicebarrow/forms';
-import { AgeWeighting } from './ageing.js';
+import { VersionOrder, type RandomSource, type Clock, type Notice } from '@pumicebarrow/forms';
+import { AgeWeighting } from './ageweighting.js';
 
 /** A notice, and the monotonic time at which it was written. */
 type Entry = { notice: Notice; writtenAt: number };
@@ -10,7 +10,7 @@
  */
 export const NoticeCache = {
   /** `minAge` is the lower bound on ages in the weightings. */
-  make(clock: Clock, random: Chance, size: number, minAge: number) {
+  make(clock: Clock, random: RandomSource, size: number, minAge: number) {
     let entries: readonly Entry[] = [];
     let evicted = 0;
     const age = (entry: Entry): number => clock.mono() - entry.writtenAt;
@@ -29,7 +29,7 @@
         const next = new Map(entries.map((entry) => [entry.notice.name, entry]));
         for (const notice of notices) {
           const known = next.get(notice.name);
-          if (!known || Order.newer(notice.date, known.notice.date))
+          if (!known || VersionOrder.isNewer(notice.date, known.notice.date))
             next.set(notice.name, { notice, writtenAt: clock.mono() - notice.age });
         }
         entries = [...next.values()];
--- a/packages/purge/src/idcache.ts
+++ b/packages/purge/src/peercache.ts
@@ -1,5 +1,5 @@
-import { Dice, type Chance, type Clock, type Ident } from '@pumicebarrow/forms';
-import type { PeerDescriptor } from './pointer.js';
+import { Random, type RandomSource, type Clock, type Ident } from '@pumicebarrow/forms';
+import type { PeerDescriptor } from './peerdescriptor.js';
 
 /** A peer, and the monotonic time at which its descriptor was created. */
 type Entry = { who: Ident; createdAt: number };
@@ -9,7 +9,7 @@
  * descriptor per id; the view never exceeds `size`.
  */
 export const PeerCache = {
-  make(clock: Clock, random: Chance, size: number, self: () => Ident) {
+  make(clock: Clock, random: RandomSource, size: number, self: () => Ident) {
     let view: readonly Entry[] = [];
     const toDescriptor = (entry: Entry): PeerDescriptor => ({
       who: entry.who,
@@ -48,10 +48,10 @@
       /** The descriptors that the initiator of an exchange sends: its own, with age 0, and g - 1 others. */
       requestSample: (g: number): PeerDescriptor[] => [
         { who: self(), age: 0 },
-        ...Dice.some(random, view, g - 1).map(toDescriptor),
+        ...Random.sample(random, view, g - 1).map(toDescriptor),
       ],
       /** The g descriptors that the partner sends back. */
-      replySample: (g: number): PeerDescriptor[] => Dice.some(random, view, g).map(toDescriptor),
+      replySample: (g: number): PeerDescriptor[] => Random.sample(random, view, g).map(toDescriptor),
       merge,
       /** Puts a partner that replied back into the view if there is room; CYCLON drops it from a full view. */
       keepIfRoom(who: Ident): void {
--- a/packages/registry/src/chain/batch.ts
+++ b/packages/registry/src/chain/batch.ts
@@ -1,8 +1,8 @@
 import { Verdicts } from '@pumicebarrow/forms';
-import { Apply } from '../state/apply.js';
+import { CoreStateMachine } from '../state/corestatemachine.js';
 import type { Command } from './command.js';
 import type { CoreState } from '../state/corestate.js';
-import type { CommandResult } from './ruling.js';
+import type { CommandResult } from './commandresult.js';
 
 /** A command queued at the head, with the callback that receives its result. */
 type PendingCommand = { command: Command; reply: (r: CommandResult) => void };
@@ -10,7 +10,7 @@
 type RuledCommand = { pending: PendingCommand; ruling: CommandResult; changedState: boolean };
 
 const indeterminate: CommandResult = {
-  verdict: Verdicts.maybe('unsure', 'The chain failed during the write; read the plan to learn its outcome.'),
+  verdict: Verdicts.maybeRun('unsure', 'The chain broke under the write; ask for the plan to learn its fate.'),
 };
 /**
  * The result sent when the version did not reach the tail. 'no' is sent only for a command that changed nothing and was
@@ -19,7 +19,7 @@
 const resultAfterBreak = (r: RuledCommand): CommandResult =>
   r.changedState || r.ruling.verdict.ran !== 'no'
     ? indeterminate
-    : { verdict: Verdicts.not('unready', 'The chain failed; nothing was written.', 1) };
+    : { verdict: Verdicts.notRun('unready', 'The chain broke.', 1) };
 
 /**
  * Commands that are applied together as one version of the state. Invariants: each command is applied to the state left
@@ -32,7 +32,7 @@
     let current = state;
     const ruled = batch.map((pending) => {
       const before = current,
-        outcome = Apply.one(current, pending.command);
+        outcome = CoreStateMachine.apply(current, pending.command);
       current = outcome.state;
       return { pending, ruling: outcome.ruling, changedState: before !== outcome.state };
     });
@@ -44,6 +44,6 @@
   },
   /** Refuses every command of a batch of which nothing has been applied. */
   refuse(batch: readonly PendingCommand[], reason: string): void {
-    for (const pending of batch) pending.reply({ verdict: Verdicts.not('unready', reason, 1) });
+    for (const pending of batch) pending.reply({ verdict: Verdicts.notRun('unready', reason, 1) });
   },
 };
--- a/packages/registry/src/chain/chain.ts
+++ b/packages/registry/src/chain/chain.ts
@@ -1,15 +1,15 @@
-import { Timer, Verdicts, type Ident, type PostBox, type World } from '@pumicebarrow/forms';
+import { Timer, Verdicts, type Ident, type Messenger, type World } from '@pumicebarrow/forms';
 import { Batch } from './batch.js';
 import { ChainRules } from './chainrules.js';
 import type { Command } from './command.js';
 import type { CoreState } from '../state/corestate.js';
 import { StateChanges } from '../state/statechanges.js';
 import { StateDigest } from '../state/statedigest.js';
-import { StateTransfer } from './statehandover.js';
+import { StateTransfer } from './statetransfer.js';
 import { CoreMessages } from '../service/coremessages.js';
 import type { Member } from '../membership/member.js';
-import type { CommandResult } from './ruling.js';
-import type { Store } from '../state/store.js';
+import type { CommandResult } from './commandresult.js';
+import type { CoreStore } from '../state/corestore.js';
 import type { View } from '../consensus/view.js';
 import { Views } from '../consensus/views.js';
 
@@ -31,7 +31,7 @@
  * was ever started.
  */
 export const Chain = {
-  make(world: World, post: PostBox, store: Store, restored: CoreState, hooks: Hooks) {
+  make(world: World, post: Messenger, store: CoreStore, restored: CoreState, hooks: Hooks) {
     let state = restored;
     let committed: CoreState | null = null;
     let syncedEpoch = 0;
@@ -69,7 +69,7 @@
     };
     /** Forwards the version to the rest of the chain; true once the tail holds it. */
     const forward = async (view: View, newState: CoreState): Promise<boolean> => {
-      const position = Views.place(view, hooks.me()),
+      const position = Views.positionOf(view, hooks.me()),
         next = view.chain[position + 1];
       if (position < 0) return false;
       if (next) {
@@ -79,20 +79,20 @@
       if (hooks.view()?.epoch !== view.epoch) return false;
       // With too few replicas the version could still be lost, so it is neither shown to readers nor confirmed to
       // callers.
-      if (ChainRules.enough(view)) commit(newState);
+      if (ChainRules.canCommit(view)) commit(newState);
       return true;
     };
-    const isHead = (view: View | null): view is View => !!view && Views.same(Views.head(view), hooks.me());
+    const isHead = (view: View | null): view is View => !!view && Views.sameMember(Views.head(view), hooks.me());
     const whyNotReady = (): string | null => {
       const view = hooks.view();
       if (!isHead(view)) return 'This daemon is not the head.';
-      if (!hooks.holdsLease()) return 'This control replica has no live lease on its view.';
-      if (readyEpoch !== view.epoch) return 'The chain is resynchronizing.';
-      if (!ChainRules.enough(view)) return 'The chain has too few complete replicas.';
+      if (!hooks.holdsLease()) return 'The core has no live lease on its view.';
+      if (readyEpoch !== view.epoch) return 'The chain is being mended.';
+      if (!ChainRules.canCommit(view)) return 'The chain has too few copies.';
       return null;
     };
     const recordWriteStart = (next: CoreState): void =>
-      world.tell({
+      world.recordEvent({
         what: 'write',
         seq: next.seq,
         version: next.charter?.version ?? 0,
@@ -103,7 +103,7 @@
       const reason = whyNotReady(),
         view = hooks.view();
       if (reason !== null || !view) {
-        Batch.refuse(batch, reason ?? 'No view is in force.');
+        Batch.refuse(batch, reason ?? 'No view.');
         return;
       }
       const { next, ruled } = Batch.apply(state, batch);
@@ -135,7 +135,7 @@
             syncedEpoch = view.epoch;
           }
         });
-        if (readyEpoch !== view.epoch) await Timer.nap(world.clock, 200);
+        if (readyEpoch !== view.epoch) await Timer.sleep(world.clock, 200);
       }
     };
 
@@ -143,7 +143,7 @@
     const receive = async (epoch: number, from: Ident, next: CoreState): Promise<boolean> => {
       const view = hooks.view();
       const held = { fresh: syncedEpoch, seq: state.seq };
-      if (!view || !ChainRules.takes(view, hooks.me(), from, epoch, held, next.seq)) return false;
+      if (!view || !ChainRules.acceptsState(view, hooks.me(), from, epoch, held, next.seq)) return false;
       if (!(await persist(next))) return false;
       syncedEpoch = view.epoch;
       return forward(view, next);
@@ -162,7 +162,7 @@
       /** The newest version on this member's disk, committed or not. */
       state: (): CoreState => state,
       /** The newest committed version; null until one is known in the view in force. */
-      passed: (): CoreState | null => committed,
+      committed: (): CoreState | null => committed,
       /** Whether this member is a head that can accept commands now. */
       isReady: (): boolean => whyNotReady() === null,
       /** Whether this member has received the head's state in the view in force. */
@@ -174,11 +174,11 @@
         new Promise((resolve) => {
           const reason = whyNotReady();
           if (reason !== null) {
-            resolve({ verdict: Verdicts.not('unready', reason, 1) });
+            resolve({ verdict: Verdicts.notRun('unready', reason, 1) });
             return;
           }
           if (queue.length >= 256) {
-            resolve({ verdict: Verdicts.not('full', 'Too many commands are waiting.', 1) });
+            resolve({ verdict: Verdicts.notRun('full', 'Too many commands wait.', 1) });
             return;
           }
           queue = [...queue, { command, reply: resolve }];
@@ -192,7 +192,7 @@
           signalViewChange = () => resolve(null);
         });
         const { seq, charter } = state;
-        log.say(
+        log.info(
           `Entered view ${hooks.view()?.epoch ?? 0} holding state ${seq}, configuration ${charter?.version ?? 0}.`,
         );
         void resyncChain();
--- a/packages/registry/src/chain/command.ts
+++ b/packages/registry/src/chain/command.ts
@@ -1,4 +1,4 @@
-import { Intent, Routing } from '@pumicebarrow/forms';
+import { Configuration, Routing } from '@pumicebarrow/forms';
 import { Type, type Static } from 'typebox';
 import { BurstCommand } from '../lending/burstcommand.js';
 
@@ -13,7 +13,7 @@
       do: Type.Literal('plan'),
       id: Type.String({ minLength: 1, maxLength: 60 }),
       base: Type.Integer({ minimum: 0 }),
-      charter: Intent,
+      charter: Configuration,
     },
     strict,
   ),
--- a/packages/registry/src/chain/controlclient.test.ts
+++ b/packages/registry/src/chain/controlclient.test.ts
@@ -1,4 +1,4 @@
-import { Err, Ok, type Ident, type PostBox, type World } from '@pumicebarrow/forms';
+import { Err, Ok, type Ident, type Messenger, type World } from '@pumicebarrow/forms';
 import { expect } from 'chai';
 import { ControlClient } from './controlclient.js';
 import type { View } from '../consensus/view.js';
@@ -49,9 +49,9 @@
         else after(replyMs, () => done(Ok(replies(id, kind))));
       });
     },
-  } as unknown as PostBox;
+  } as unknown as Messenger;
   const clock = { mono: () => now, wall: () => now, after };
-  const world = { clock, chance: { real: () => 0.5 } } as unknown as World;
+  const world = { clock, random: { real: () => 0.5 } } as unknown as World;
   const client = ControlClient.make(world, post, () => seeds);
   if (startsWithView) client.learn(old);
   return {
--- a/packages/registry/src/chain/controlclient.ts
+++ b/packages/registry/src/chain/controlclient.ts
@@ -1,10 +1,19 @@
-import { Dice, Err, Timer, Verdicts, type PostBox, type Result, type WireFault, type World } from '@pumicebarrow/forms';
+import {
+  Random,
+  Err,
+  Timer,
+  Verdicts,
+  type Messenger,
+  type Result,
+  type RequestError,
+  type World,
+} from '@pumicebarrow/forms';
 import type { Static } from 'typebox';
 import type { Command } from './command.js';
 import { CoreMessages } from '../service/coremessages.js';
-import { BurstMessages } from '../lending/burstwords.js';
+import { BurstMessages } from '../lending/burstmessages.js';
 import { CoreTimings } from '../coretimings.js';
-import type { CommandResult } from './ruling.js';
+import type { CommandResult } from './commandresult.js';
 import type { View } from '../consensus/view.js';
 import { Views } from '../consensus/views.js';
 
@@ -23,7 +32,7 @@
  */
 export const ControlClient = {
   /** `ownView` is the view that a control replica holds itself; such a replica answers `core.hint` in Core. */
-  make(world: World, post: PostBox, seeds: () => readonly string[], ownView?: () => View | null) {
+  make(world: World, post: Messenger, seeds: () => readonly string[], ownView?: () => View | null) {
     let view: View | null = null;
     const epoch = (): number => view?.epoch ?? 0;
     const learn = (newView: View | null): void => {
@@ -36,12 +45,12 @@
      */
     const look = (): Promise<void> => {
       const epochBefore = epoch();
-      const known = view ? Views.all(view).map((m) => m.addr) : [];
-      const knownTargets = Dice.some(world.chance, known, KNOWN_MEMBER_TARGETS);
+      const known = view ? Views.allMembers(view).map((m) => m.addr) : [];
+      const knownTargets = Random.sample(world.random, known, KNOWN_MEMBER_TARGETS);
       const otherAddresses = [...new Set(seeds())].filter((a) => !known.includes(a));
       const targets = [
         ...knownTargets,
-        ...Dice.some(world.chance, otherAddresses, VIEW_QUERY_TARGETS - knownTargets.length),
+        ...Random.sample(world.random, otherAddresses, VIEW_QUERY_TARGETS - knownTargets.length),
       ];
       return new Promise((resolve) => {
         const queries = targets.map(async (addr) => {
@@ -79,16 +88,16 @@
           if (epoch() > epochBefore && (timeoutMs === 0 || world.clock.mono() < deadline)) continue;
         }
         if (world.clock.mono() >= deadline) return null;
-        await Timer.nap(world.clock, 100 + Dice.int(world.chance, 60));
+        await Timer.sleep(world.clock, 100 + Random.int(world.random, 60));
       }
     };
     /** Waits for a reply, but stops once a view is known that is newer than the one the request was sent in. */
-    const unlessViewChanged = <T>(request: Promise<Result<T, WireFault>>): Promise<Result<T, WireFault>> => {
+    const unlessViewChanged = <T>(request: Promise<Result<T, RequestError>>): Promise<Result<T, RequestError>> => {
       const epochBefore = epoch();
       return new Promise((resolve) => {
         let pending = true;
         let cancelCheck: () => void = () => undefined;
-        const settle = (result: Result<T, WireFault>): void => {
+        const settle = (result: Result<T, RequestError>): void => {
           pending = false;
           cancelCheck();
           resolve(result);
@@ -133,8 +142,8 @@
         });
         if (accepted) return { ...accepted, ruling: accepted.ruling, sent };
         const verdict = maybeWritten
-          ? Verdicts.maybe('unsure', 'The control replicas did not report the outcome; read the plan to learn it.')
-          : Verdicts.not('unready', 'The control replicas cannot accept writes now.', 1);
+          ? Verdicts.maybeRun('unsure', 'The core did not say; ask for the plan to learn its fate.')
+          : Verdicts.notRun('unready', 'The core can take no writes now.', 1);
         return { ruling: { verdict }, term: 0, sent };
       },
       /** Reads the configuration in force from the tail, and one plan if its id is given. */
--- a/packages/registry/src/chain/statehandover.test.ts
+++ b/packages/registry/src/chain/statetransfer.test.ts
@@ -1,15 +1,15 @@
-import { Err, Ok, type PostBox, type WireFault } from '@pumicebarrow/forms';
+import { Err, Ok, type Messenger, type RequestError } from '@pumicebarrow/forms';
 import { expect } from 'chai';
-import { Apply } from '../state/apply.js';
+import { CoreStateMachine } from '../state/corestatemachine.js';
 import type { CoreState } from '../state/corestate.js';
 import type { StateChange } from '../state/statechange.js';
 import { StateChanges } from '../state/statechanges.js';
-import { StateTransfer } from './statehandover.js';
+import { StateTransfer } from './statetransfer.js';
 
-type Reply = { ok: boolean; lacking: boolean } | WireFault;
+type Reply = { ok: boolean; lacking: boolean } | RequestError;
 const next = { id: 'k2', born: 'b2', addr: '10.0.0.2:7000' };
 const version = (seq: number): CoreState => ({
-  ...Apply.empty,
+  ...CoreStateMachine.emptyState,
   seq,
   claims: { x: { id: 'k', born: 'b', fence: seq + 1 } },
 });
@@ -23,7 +23,7 @@
       const reply = body.change ? replies.shift()! : { ok: true };
       return Promise.resolve(typeof reply === 'string' ? Err(reply) : Ok(reply));
     },
-  } as unknown as PostBox;
+  } as unknown as Messenger;
   return { sent, handover: StateTransfer.make(post, StateChanges.make()) };
 };
 const taken = { ok: true, lacking: false };
@@ -47,7 +47,7 @@
     expect(sent).to.deep.equal(['core.change 3>3', 'core.push 3']);
   });
   it('does not resend by itself when the outcome is unknown, and then assumes no confirmed version', async () => {
-    for (const reply of ['lost', 'unsent'] as WireFault[]) {
+    for (const reply of ['lost', 'unsent'] as RequestError[]) {
       const { sent, handover } = memberReplying(taken, reply, taken);
       await handover.send(next, 1, version(1));
       expect(await handover.send(next, 1, version(2)), reply).to.equal(false);
--- a/packages/registry/src/chain/statehandover.ts
+++ b/packages/registry/src/chain/statetransfer.ts
@@ -1,4 +1,4 @@
-import type { PostBox } from '@pumicebarrow/forms';
+import type { Messenger } from '@pumicebarrow/forms';
 import type { Member } from '../membership/member.js';
 import { CoreTimings } from '../coretimings.js';
 import { CoreMessages } from '../service/coremessages.js';
@@ -12,7 +12,7 @@
  * lacks that version. Invariant: `send` returns true only after the member has confirmed that it holds the version.
  */
 export const StateTransfer = {
-  make(post: PostBox, changes: StateChanges) {
+  make(post: Messenger, changes: StateChanges) {
     /** The version that the successor last confirmed. */
     let acknowledged: AcknowledgedState | null = null;
     const sendWhole = async (successor: Member, epoch: number, state: CoreState): Promise<boolean> => {
--- a/packages/registry/src/consensus/bootstrap.ts
+++ b/packages/registry/src/consensus/bootstrap.ts
@@ -1,4 +1,4 @@
-import { Fading, type PostBox, type World } from '@pumicebarrow/forms';
+import { ExpiringMap, type Messenger, type World } from '@pumicebarrow/forms';
 import type { Static, TSchema } from 'typebox';
 import { CoreMessages } from '../service/coremessages.js';
 import type { Member } from '../membership/member.js';
@@ -34,8 +34,8 @@
  * knows the earlier one and also asks its voters.
  */
 export const Bootstrap = {
-  make(world: World, post: PostBox, voter: Voter, viewChanger: ViewChanger, hooks: Hooks) {
-    const recentCandidates = Fading.make<Member>(world.clock.mono, MAX_CANDIDATES);
+  make(world: World, post: Messenger, voter: Voter, viewChanger: ViewChanger, hooks: Hooks) {
+    const recentCandidates = ExpiringMap.make<Member>(world.clock.mono, MAX_CANDIDATES);
     /** Addresses of candidates reported by others; they are asked in the next round. */
     let reportedAddresses: readonly string[] = [];
     const recordCandidate = (member: Member): void => {
@@ -43,7 +43,7 @@
     };
     /** The candidates known here, this one included; empty if this daemon is not a candidate. */
     const knownCandidates = (): Member[] =>
-      hooks.isCandidate() ? BootstrapRules.ordered([hooks.me(), ...recentCandidates.all()]) : [];
+      hooks.isCandidate() ? BootstrapRules.sortedById([hooks.me(), ...recentCandidates.values()]) : [];
     post.on('core.look', CoreMessages.empty, () => ({
       view: hooks.view(),
       took: voter.acceptedView(),
@@ -61,7 +61,7 @@
       const addrs = new Set([
         ...hooks.coreAddresses(),
         ...reportedAddresses,
-        ...recentCandidates.all().map((m) => m.addr),
+        ...recentCandidates.values().map((m) => m.addr),
       ]);
       addrs.delete(hooks.me().addr);
       const results = await Promise.all(
@@ -84,7 +84,7 @@
       async runRound(): Promise<void> {
         const accepted = voter.acceptedView(),
           me = hooks.me();
-        if (accepted && Views.votes(accepted, me)) {
+        if (accepted && Views.isVoter(accepted, me)) {
           if (
             await viewChanger.propose(accepted.voters, accepted, 'Resuming an unfinished proposal of the first view.')
           )
@@ -102,12 +102,12 @@
           return;
         }
         reportedAddresses = replies.flatMap((s) => s.met.map((m) => m.addr)).slice(0, MAX_CANDIDATES);
-        for (const s of replies) if (s.met.some((m) => Views.same(m, s.me))) recordCandidate(s.me);
+        for (const s of replies) if (s.met.some((m) => Views.sameMember(m, s.me))) recordCandidate(s.me);
         const candidates = knownCandidates();
         const proposal = BootstrapRules.firstView(candidates, me, hooks.losses);
         const repliedAddresses = meetReplies.map((r) => r.addr);
-        if (!proposal || !BootstrapRules.heardSeeds(hooks.seeds(), me.addr, repliedAddresses)) return;
-        if (!BootstrapRules.agreed(candidates, me, replies)) return;
+        if (!proposal || !BootstrapRules.seedMajorityReplied(hooks.seeds(), me.addr, repliedAddresses)) return;
+        if (!BootstrapRules.candidatesAgree(candidates, me, replies)) return;
         await viewChanger.propose(proposal.voters, proposal, 'The first view.', candidates);
       },
     };
--- a/packages/registry/src/consensus/introducer.ts
+++ b/packages/registry/src/consensus/introducer.ts
@@ -1,4 +1,4 @@
-import { Fading, type Clock, type PostBox } from '@pumicebarrow/forms';
+import { ExpiringMap, type Clock, type Messenger } from '@pumicebarrow/forms';
 import type { Member } from '../membership/member.js';
 import { CoreMessages } from '../service/coremessages.js';
 import { BootstrapRules } from './bootstraprules.js';
@@ -11,7 +11,7 @@
  * late is told of the former and asks them for their view.
  */
 const CANDIDATE_TTL_MS = 60_000;
-type Hooks = { clock: Clock; post: PostBox; me: () => Member; view: () => View | null };
+type Hooks = { clock: Clock; post: Messenger; me: () => Member; view: () => View | null };
 
 /**
  * Lets candidates for the first view find each other through a daemon that is not a control replica but may be a seed.
@@ -19,11 +19,11 @@
  */
 export const Introducer = {
   make(hooks: Hooks): void {
-    const candidates = Fading.make<Member>(hooks.clock.mono, MAX_CANDIDATES);
+    const candidates = ExpiringMap.make<Member>(hooks.clock.mono, MAX_CANDIDATES);
     hooks.post.on('core.look', CoreMessages.empty, () => ({ view: hooks.view(), took: null, me: hooks.me() }));
     hooks.post.on('core.meet', CoreMessages.meet, ({ me }) => {
       candidates.set(me.id, me, CANDIDATE_TTL_MS);
-      const known = BootstrapRules.ordered(candidates.all());
+      const known = BootstrapRules.sortedById(candidates.values());
       return { view: hooks.view(), took: null, me: hooks.me(), met: known };
     });
   },
--- a/packages/registry/src/consensus/leaserecall.ts
+++ b/packages/registry/src/consensus/leaserecall.ts
@@ -1,4 +1,4 @@
-import { Timer, type PostBox, type World } from '@pumicebarrow/forms';
+import { Timer, type Messenger, type World } from '@pumicebarrow/forms';
 import { CoreMessages } from '../service/coremessages.js';
 import type { FailureDetector } from '../membership/failuredetector.js';
 import type { Member } from '../membership/member.js';
@@ -17,7 +17,7 @@
 export const LeaseRecall = {
   make(
     world: World,
-    post: PostBox,
+    post: Messenger,
     me: () => Member,
     addresses: AddressBook,
     view: () => View | null,
@@ -30,7 +30,7 @@
       return { ok };
     });
     const recallFrom = async (recalledView: View, holder: Member): Promise<void> => {
-      if (Views.same(holder, me())) detector.releaseLeases();
+      if (Views.sameMember(holder, me())) detector.releaseLeases();
       else {
         const reply = await post.ask(
           addresses.addressOf(holder),
@@ -52,7 +52,7 @@
         if (firstAttempt.ok || firstAttempt.wait === 0 || !presentView || presentView.epoch + 1 !== epoch)
           return firstAttempt;
         const recalls = Promise.all(presentView.chain.map((m) => recallFrom(presentView, m)));
-        await Promise.race([recalls, Timer.nap(world.clock, CoreTimings.leaseRecallTimeoutMs)]);
+        await Promise.race([recalls, Timer.sleep(world.clock, CoreTimings.leaseRecallTimeoutMs)]);
         return voter.prepare(epoch, ballot);
       },
     };
--- a/packages/registry/src/consensus/nextviews.test.ts
+++ b/packages/registry/src/consensus/nextviews.test.ts
@@ -14,8 +14,8 @@
   TestMember,
 ];
 const knowledgeOf = (fresh: readonly TestMember[] = [], emptied: readonly TestMember[] = []) => ({
-  fresh: (m: { id: string; born: string }) => fresh.some((x) => Views.same(x, m)),
-  emptied: (m: { id: string; born: string }) => emptied.some((x) => Views.same(x, m)),
+  fresh: (m: { id: string; born: string }) => fresh.some((x) => Views.sameMember(x, m)),
+  emptied: (m: { id: string; born: string }) => emptied.some((x) => Views.sameMember(x, m)),
 });
 const threeVoters: View = { epoch: 4, voters: [a, b, c], chain: [a, b] };
 const joinIds = (list: readonly { id: string }[] | undefined): string => (list ?? []).map((m) => m.id).join('');
@@ -33,52 +33,52 @@
     ],
     [
       'a removed member is not kept in reserve if enough complete members remain',
-      NextViews.without({ ...threeVoters, chain: [a, b, c] }, [b], knowledgeOf()),
+      NextViews.withoutMembers({ ...threeVoters, chain: [a, b, c] }, [b], knowledgeOf()),
       '5 ac joining: reserve:',
     ],
     [
       'a removed member is kept in reserve if too few complete members remain',
-      NextViews.without(threeVoters, [b], knowledgeOf()),
+      NextViews.withoutMembers(threeVoters, [b], knowledgeOf()),
       '5 a joining: reserve:b',
     ],
     [
       'a removed member whose disk is lost is not kept in reserve',
-      NextViews.without(threeVoters, [b], knowledgeOf([], [b])),
+      NextViews.withoutMembers(threeVoters, [b], knowledgeOf([], [b])),
       '5 a joining: reserve:',
     ],
     [
       'a joining member does not count as complete',
-      NextViews.without({ ...threeVoters, chain: [a, b, c], joining: [c] }, [b], knowledgeOf()),
+      NextViews.withoutMembers({ ...threeVoters, chain: [a, b, c], joining: [c] }, [b], knowledgeOf()),
       '5 ac joining:c reserve:b',
     ],
     [
       'a member that has caught up counts as complete',
-      NextViews.without({ ...threeVoters, chain: [a, b, c], joining: [c] }, [b], knowledgeOf([c])),
+      NextViews.withoutMembers({ ...threeVoters, chain: [a, b, c], joining: [c] }, [b], knowledgeOf([c])),
       '5 ac joining: reserve:',
     ],
     [
       'a joining member never becomes the head',
-      NextViews.without({ ...threeVoters, chain: [a, c], joining: [c] }, [a], knowledgeOf()),
+      NextViews.withoutMembers({ ...threeVoters, chain: [a, c], joining: [c] }, [a], knowledgeOf()),
       'none',
     ],
     [
       'the reserve is dropped once enough members are complete',
-      NextViews.without({ ...threeVoters, chain: [a, c], joining: [c], reserve: [b] }, [], knowledgeOf([c])),
+      NextViews.withoutMembers({ ...threeVoters, chain: [a, c], joining: [c], reserve: [b] }, [], knowledgeOf([c])),
       '5 ac joining: reserve:',
     ],
     [
       'a reserve member becomes the head, and the unavailable complete member goes to the reserve',
-      NextViews.promoting({ ...threeVoters, chain: [a, c], joining: [c], reserve: [b] }, b, [a], knowledgeOf()),
+      NextViews.withReserveAsHead({ ...threeVoters, chain: [a, c], joining: [c], reserve: [b] }, b, [a], knowledgeOf()),
       '5 bc joining:c reserve:a',
     ],
     [
       'a reserve member does not become the head while a complete member is available',
-      NextViews.promoting({ ...threeVoters, chain: [a, c], joining: [c], reserve: [b] }, b, [], knowledgeOf()),
+      NextViews.withReserveAsHead({ ...threeVoters, chain: [a, c], joining: [c], reserve: [b] }, b, [], knowledgeOf()),
       'none',
     ],
     [
       'a member outside the reserve is not promoted to head',
-      NextViews.promoting({ ...threeVoters, chain: [a] }, b, [a], knowledgeOf()),
+      NextViews.withReserveAsHead({ ...threeVoters, chain: [a] }, b, [a], knowledgeOf()),
       'none',
     ],
     [
@@ -115,20 +115,20 @@
           const knowledge = knowledgeOf(action.fresh);
           const next =
             action.kind === 'without'
-              ? NextViews.without(view, action.list, knowledge)
+              ? NextViews.withoutMembers(view, action.list, knowledge)
               : action.kind === 'withTail'
                 ? NextViews.withTail(view, action.who, knowledge)
                 : action.kind === 'withVoter'
                   ? NextViews.withVoter(view, action.who, action.who, knowledge)
-                  : NextViews.promoting(view, action.who, action.list, knowledge);
+                  : NextViews.withReserveAsHead(view, action.who, action.list, knowledge);
           if (!next) continue;
-          expect(Views.complete(next).map((m) => m.id)).to.include(Views.head(next).id);
-          const holders = [...Views.complete(view), ...(view.reserve ?? [])];
-          const replicas = [...Views.complete(next), ...(next.reserve ?? [])];
-          if (Views.complete(next).length < Views.most(next))
+          expect(Views.completeMembers(next).map((m) => m.id)).to.include(Views.head(next).id);
+          const holders = [...Views.completeMembers(view), ...(view.reserve ?? [])];
+          const replicas = [...Views.completeMembers(next), ...(next.reserve ?? [])];
+          if (Views.completeMembers(next).length < Views.majority(next))
             for (const holder of holders)
               expect(
-                replicas.some((m) => Views.same(m, holder)),
+                replicas.some((m) => Views.sameMember(m, holder)),
                 holder.id,
               ).to.equal(true);
           view = next;
--- a/packages/registry/src/consensus/nextviews.ts
+++ b/packages/registry/src/consensus/nextviews.ts
@@ -12,7 +12,7 @@
 };
 
 const includes = (members: readonly Member[], identity: Identity): boolean =>
-  members.some((m) => Views.same(m, identity));
+  members.some((m) => Views.sameMember(m, identity));
 
 /**
  * The view after `view` with the given chain; null if its head would not be complete. Invariant: while there are too
@@ -27,8 +27,8 @@
 ): View | null => {
   const joining = chain.filter((m) => !includes(complete, m));
   if (!chain[0] || includes(joining, chain[0])) return null;
-  const enough = chain.length - joining.length >= Views.most(view);
-  const holders = [...Views.complete(view), ...(view.reserve ?? [])];
+  const enough = chain.length - joining.length >= Views.majority(view);
+  const holders = [...Views.completeMembers(view), ...(view.reserve ?? [])];
   const reserve = enough ? [] : holders.filter((m) => !includes(complete, m) && !knowledge.emptied(m));
   return {
     ...{ epoch: view.epoch + 1, voters: view.voters, chain: [...chain] },
@@ -38,13 +38,13 @@
 };
 /** Chain members that are complete by now. */
 const completeNow = (view: View, knowledge: Knowledge): Member[] =>
-  view.chain.filter((m) => includes(Views.complete(view), m) || knowledge.fresh(m));
+  view.chain.filter((m) => includes(Views.completeMembers(view), m) || knowledge.fresh(m));
 
 /** The views that may be proposed after a given one. Null if no such view keeps everything that was committed. */
 export const NextViews = {
   /** Removes some members; with an empty list, renews the view with the same chain. */
-  without(view: View, removed: readonly Identity[], knowledge: Knowledge): View | null {
-    const chain = view.chain.filter((m) => !removed.some((w) => Views.same(m, w)));
+  withoutMembers(view: View, removed: readonly Identity[], knowledge: Knowledge): View | null {
+    const chain = view.chain.filter((m) => !removed.some((w) => Views.sameMember(m, w)));
     const complete = completeNow(view, knowledge).filter((m) => includes(chain, m));
     return nextView(view, chain, knowledge, complete);
   },
@@ -53,18 +53,18 @@
     const chain = [...view.chain.filter((x) => x.id !== newcomer.id), newcomer];
     const complete = completeNow(view, knowledge).filter((x) => x.id !== newcomer.id);
     const next = nextView(view, chain, knowledge, complete);
-    return next && { ...next, voters: view.voters.map((x) => (Views.same(x, newcomer) ? newcomer : x)) };
+    return next && { ...next, voters: view.voters.map((x) => (Views.sameMember(x, newcomer) ? newcomer : x)) };
   },
   /** Gives another member's vote to a chain member that has caught up. */
   withVoter(view: View, newVoter: Member, oldVoter: Identity, knowledge: Knowledge): View | null {
     const next = nextView(view, view.chain, knowledge, completeNow(view, knowledge));
-    return next && { ...next, voters: view.voters.map((x) => (Views.same(x, oldVoter) ? newVoter : x)) };
+    return next && { ...next, voters: view.voters.map((x) => (Views.sameMember(x, oldVoter) ? newVoter : x)) };
   },
   /**
    * Makes a member of the reserve the head; null unless all complete chain members are unavailable. Those go to the
    * reserve: nothing is committed in a view with a reserve, so all of them hold the same state.
    */
-  promoting(view: View, newHead: Member, away: readonly Member[], knowledge: Knowledge): View | null {
+  withReserveAsHead(view: View, newHead: Member, away: readonly Member[], knowledge: Knowledge): View | null {
     if (!Views.isInReserve(view, newHead) || !completeNow(view, knowledge).every((x) => includes(away, x))) return null;
     const others = view.chain.filter((x) => !includes(away, x) && x.id !== newHead.id);
     return nextView(view, [newHead, ...others], knowledge, [newHead]);
--- a/packages/registry/src/consensus/viewchanger.ts
+++ b/packages/registry/src/consensus/viewchanger.ts
@@ -1,4 +1,4 @@
-import { Dice, Timer, type PostBox, type World } from '@pumicebarrow/forms';
+import { Random, Timer, type Messenger, type World } from '@pumicebarrow/forms';
 import { CoreMessages } from '../service/coremessages.js';
 import type { Member } from '../membership/member.js';
 import { BootstrapRules } from './bootstraprules.js';
@@ -35,7 +35,7 @@
 export const ViewChanger = {
   make(
     world: World,
-    post: PostBox,
+    post: Messenger,
     me: () => Member,
     addresses: AddressBook,
     voter: Voter,
@@ -75,7 +75,7 @@
       const promisesNeeded = (hasAcceptedView: boolean): number =>
         epoch === 1 ? BootstrapRules.promisesNeeded(promisers.length, voters.length, hasAcceptedView) : majority;
       const promises = await poll(promisers, promisesNeeded(false), async (m) => {
-        if (Views.same(m, me())) return { ...(await voter.prepare(epoch, ballot)), view: null };
+        if (Views.sameMember(m, me())) return { ...(await voter.prepare(epoch, ballot)), view: null };
         const reply = await post.ask(
           addresses.addressOf(m),
           m.id,
@@ -95,16 +95,16 @@
       const granted = promises.filter((v) => v.ok);
       const hasAcceptedView = granted.some((v) => v.took);
       // A candidate has accepted a view that its voters complete alone, so this round's promises must not be counted.
-      if (BootstrapRules.isTakenOver(promisers.length, voters.length, hasAcceptedView)) return null;
+      if (BootstrapRules.isSuperseded(promisers.length, voters.length, hasAcceptedView)) return null;
       if (granted.length < promisesNeeded(hasAcceptedView)) {
         const waitMs = Math.min(CoreTimings.viewLeaseMs, Math.max(...promises.map((v) => v.wait ?? 0), 0));
-        await Timer.nap(world.clock, waitMs + Dice.int(world.chance, 60));
+        await Timer.sleep(world.clock, waitMs + Random.int(world.random, 60));
         return null;
       }
-      const view = VoterRules.choice(granted, next);
+      const view = VoterRules.chooseView(granted, next);
       if (epoch === 1 && serialize(view.voters) !== serialize(voters)) return null;
       const acceptances = await poll(voters, majority, async (m) => {
-        if (Views.same(m, me())) return { ...(await voter.accept(epoch, ballot, view)), view: null };
+        if (Views.sameMember(m, me())) return { ...(await voter.accept(epoch, ballot, view)), view: null };
         const reply = await post.ask(
           addresses.addressOf(m),
           m.id,
@@ -140,12 +140,12 @@
           for (let attempt = 0; attempt < 6; attempt++) {
             const view = await round(voters, next, promisers);
             if (view) {
-              log.say(`View ${view.epoch} agreed with chain: ${view.chain.map((m) => m.id).join(' > ')}. ${reason}`);
-              world.tell({ what: 'view', epoch: view.epoch, chain: view.chain.map((m) => `${m.id}/${m.born}`) });
+              log.info(`View ${view.epoch} agreed with chain: ${view.chain.map((m) => m.id).join(' > ')}. ${reason}`);
+              world.recordEvent({ what: 'view', epoch: view.epoch, chain: view.chain.map((m) => `${m.id}/${m.born}`) });
               const adopted = await adopt(view);
               announcements = Promise.all(
-                Views.all(view)
-                  .filter((m) => !Views.same(m, me()))
+                Views.allMembers(view)
+                  .filter((m) => !Views.sameMember(m, me()))
                   .map((m) =>
                     post.ask(
                       addresses.addressOf(m),
--- a/packages/registry/src/consensus/viewfile.test.ts
+++ b/packages/registry/src/consensus/viewfile.test.ts
@@ -1,6 +1,6 @@
 import { Err, Ok } from '@pumicebarrow/forms';
 import { expect } from 'chai';
-import type { Store } from '../state/store.js';
+import type { CoreStore } from '../state/corestore.js';
 import type { View } from './view.js';
 import { ViewFile } from './viewfile.js';
 
@@ -12,7 +12,7 @@
       if (!disk.full) disk.epochs.push(newView.epoch);
       return Promise.resolve(disk.full ? Err('full') : Ok(undefined));
     },
-  } as unknown as Store;
+  } as unknown as CoreStore;
   return { disk, file: ViewFile.make(store, loaded) };
 };
 
--- a/packages/registry/src/consensus/viewfile.ts
+++ b/packages/registry/src/consensus/viewfile.ts
@@ -1,5 +1,5 @@
 import type { Result } from '@pumicebarrow/forms';
-import type { Store } from '../state/store.js';
+import type { CoreStore } from '../state/corestore.js';
 import type { View } from './view.js';
 
 /**
@@ -7,7 +7,7 @@
  * request.
  */
 export const ViewFile = {
-  make(store: Store, loaded: View | null) {
+  make(store: CoreStore, loaded: View | null) {
     let newest = loaded;
     let saved = loaded?.epoch ?? 0;
     let lastWrite: Promise<Result<void, string> | null> = Promise.resolve(null);
--- a/packages/registry/src/consensus/voter.test.ts
+++ b/packages/registry/src/consensus/voter.test.ts
@@ -1,6 +1,6 @@
 import { Err, Ok } from '@pumicebarrow/forms';
 import { expect } from 'chai';
-import type { Store } from '../state/store.js';
+import type { CoreStore } from '../state/corestore.js';
 import type { View } from './view.js';
 import { Voter } from './voter.js';
 
@@ -16,7 +16,7 @@
     if (!diskFails) saved.push(value);
     return Promise.resolve(diskFails ? Err('full') : Ok(undefined));
   },
-} as unknown as Store;
+} as unknown as CoreStore;
 type Step =
   | ['moved', number]
   | ['prepare', number, number, boolean]
--- a/packages/registry/src/consensus/voter.ts
+++ b/packages/registry/src/consensus/voter.ts
@@ -1,5 +1,5 @@
 import type { Result } from '@pumicebarrow/forms';
-import type { Store } from '../state/store.js';
+import type { CoreStore } from '../state/corestore.js';
 import type { View } from './view.js';
 import type { Vote } from './vote.js';
 import { VoterRules } from './voterrules.js';
@@ -19,7 +19,7 @@
  */
 export const Voter = {
   make(
-    store: Store,
+    store: CoreStore,
     mono: () => number,
     restored: Vote | null,
     earlierLeasesUntil = 0,
@@ -53,7 +53,7 @@
       acceptedView: (): View | null => vote?.took?.view ?? null,
       /** Grants a lease on the view of `epoch`, unless the next view is being prepared. */
       grantLease(epoch: number, leaseMs: number, holder?: Identity): boolean {
-        if (mono() < viewChangeUntil || !VoterRules.mayGrant(vote, epoch)) return false;
+        if (mono() < viewChangeUntil || !VoterRules.mayGrantLease(vote, epoch)) return false;
         leases.set(leaseKey(holder), mono() + leaseMs);
         return true;
       },
--- a/packages/registry/src/consensus/voterrules.ts
+++ b/packages/registry/src/consensus/voterrules.ts
@@ -15,7 +15,7 @@
   isEpochOver: (vote: Vote | null, presentEpoch: number, epoch: number): boolean =>
     epoch <= presentEpoch || (vote !== null && epoch < vote.epoch),
   /** Whether a lease on the view of an epoch may be granted: not once the voter has promised a later one. */
-  mayGrant: (vote: Vote | null, epoch: number): boolean =>
+  mayGrantLease: (vote: Vote | null, epoch: number): boolean =>
     vote === null || vote.epoch <= epoch || (vote.epoch === epoch + 1 && vote.promised === 0),
   /** The vote after promising a ballot; null if the ballot must be refused. */
   promise(vote: Vote | null, presentEpoch: number, epoch: number, ballot: number, leased: boolean): Vote | null {
@@ -37,7 +37,7 @@
   /**
    * The view that a proposer must propose: the one accepted under the highest ballot among the promises, else its own.
    */
-  choice(promises: readonly { took?: Vote['took'] }[], ownProposal: View): View {
+  chooseView(promises: readonly { took?: Vote['took'] }[], ownProposal: View): View {
     const highest = promises.flatMap((p) => (p.took ? [p.took] : [])).sort((a, b) => b.ballot - a.ballot)[0];
     return highest ? highest.view : ownProposal;
   },
--- a/packages/registry/src/core.ts
+++ b/packages/registry/src/core.ts
@@ -1,9 +1,9 @@
-import { Dice, Timer, type Ident, type PostBox, type World } from '@pumicebarrow/forms';
+import { Random, Timer, type Ident, type Messenger, type World } from '@pumicebarrow/forms';
 import { interpret } from 'robot3';
 import { Chain } from './chain/chain.js';
 import { ChainRules } from './chain/chainrules.js';
-import { CoreLifecycle } from './corelife.js';
-import { CoreService } from './service/coredesk.js';
+import { CoreLifecycle } from './corelifecycle.js';
+import { CoreService } from './service/coreservice.js';
 import type { CoreState } from './state/corestate.js';
 import { CoreMessages } from './service/coremessages.js';
 import { Bootstrap } from './consensus/bootstrap.js';
@@ -12,7 +12,7 @@
 import { RepairTask } from './membership/repairtask.js';
 import { CoreTimings } from './coretimings.js';
 import { LeaseRecall } from './consensus/leaserecall.js';
-import type { Store } from './state/store.js';
+import type { CoreStore } from './state/corestore.js';
 import type { View } from './consensus/view.js';
 import { ViewFile } from './consensus/viewfile.js';
 import { Views } from './consensus/views.js';
@@ -44,7 +44,7 @@
  * view held here only rises.
  */
 export const Core = {
-  make(world: World, post: PostBox, ident: () => Ident, store: Store, restored: RestoredState, hooks: Hooks) {
+  make(world: World, post: Messenger, ident: () => Ident, store: CoreStore, restored: RestoredState, hooks: Hooks) {
     const log = world.log('core');
     const me = (): Member => ({ id: ident().id, born: ident().born, addr: ident().addr });
     const lifecycle = interpret(CoreLifecycle, () => undefined);
@@ -60,19 +60,20 @@
     let stop: () => void = () => undefined;
     const isSick = (): boolean =>
       lifecycle.machine.current === 'sick' || store.longestPendingWriteMs() > CoreTimings.diskStallMs;
-    const isInChain = (): boolean => !!view && view.chain.some((m) => Views.same(m, me()) && m.addr === me().addr);
+    const isInChain = (): boolean =>
+      !!view && view.chain.some((m) => Views.sameMember(m, me()) && m.addr === me().addr);
     /** In the chain, though the view may have an older address of this daemon. */
-    const hasPosition = (inView: View): boolean => Views.place(inView, me()) >= 0;
+    const hasPosition = (inView: View): boolean => Views.positionOf(inView, me()) >= 0;
     const holdsLease = (): boolean => !isSick() && detector.holdsLease(view);
     const onDiskFault = (reason: string): void => {
       if (lifecycle.machine.current !== 'sick') {
         log.warn(`The disk failed: ${reason}. Leaving the chain.`);
-        world.tell({ what: 'sick' });
+        world.recordEvent({ what: 'sick' });
       }
       lifecycle.send('ill');
     };
-    const isTail = (): boolean => !!view && Views.same(Views.tail(view), me());
-    const isHead = (): boolean => !!view && Views.same(Views.head(view), me());
+    const isTail = (): boolean => !!view && Views.sameMember(Views.tail(view), me());
+    const isHead = (): boolean => !!view && Views.sameMember(Views.head(view), me());
     const chain = Chain.make(world, post, store, restored.state, {
       view: () => view,
       holdsLease,
@@ -109,9 +110,9 @@
     });
 
     const join = async (joinedView: View): Promise<void> => {
-      const contact = Dice.one(
-        world.chance,
-        Views.all(joinedView).filter((m) => m.id !== me().id),
+      const contact = Random.pick(
+        world.random,
+        Views.allMembers(joinedView).filter((m) => m.id !== me().id),
       );
       if (contact)
         await post.ask(
@@ -127,7 +128,7 @@
     const recoverDisk = async (): Promise<void> => {
       const written = await store.saveIdentity(me().born, false);
       if (written.ok && (await viewFile.ensureSaved())) {
-        log.say('The disk has recovered.');
+        log.info('The disk has recovered.');
         lifecycle.send('well');
       }
     };
@@ -153,12 +154,12 @@
       detector.recordHeartbeat(body.me, { sick: body.sick, fresh: body.fresh, epoch: body.epoch });
       const leaseGranted =
         !!view &&
-        ChainRules.mayLease(view, body.epoch, body.me, me()) &&
+        ChainRules.mayRequestLease(view, body.epoch, body.me, me()) &&
         voter.grantLease(view.epoch, CoreTimings.viewLeaseMs, body.me);
       return { me: me(), view, claim: leaseGranted, sick: isSick(), fresh: chain.fresh() };
     });
     const isNextEpoch = (epoch: number): boolean =>
-      epoch === (view?.epoch ?? 0) + 1 && (view ? Views.votes(view, me()) : isCandidate());
+      epoch === (view?.epoch ?? 0) + 1 && (view ? Views.isVoter(view, me()) : isCandidate());
     post.on('core.prepare', CoreMessages.prepare, async (body) => {
       if (!isNextEpoch(body.epoch)) return { ok: false, wait: 0, promised: 0, took: null, view };
       return { ...(await recallingVoter.prepare(body.epoch, body.ballot)), view };
@@ -178,13 +179,20 @@
         !hasPosition(currentView) ||
         isSick() ||
         viewChanger.isBusy() ||
-        !Views.votes(currentView, me())
+        !Views.isVoter(currentView, me())
       )
         return { ok: false };
       const namesake = currentView.chain.find((x) => x.id === newcomer.id);
-      if (!Views.room(currentView, newcomer) || (namesake?.addr === newcomer.addr && Views.same(namesake, newcomer)))
+      if (
+        !Views.hasRoomFor(currentView, newcomer) ||
+        (namesake?.addr === newcomer.addr && Views.sameMember(namesake, newcomer))
+      )
         return { ok: false };
-      if (namesake && !Views.same(namesake, newcomer) && detector.silentForMs(namesake) < CoreTimings.suspectAfterMs)
+      if (
+        namesake &&
+        !Views.sameMember(namesake, newcomer) &&
+        detector.silentForMs(namesake) < CoreTimings.suspectAfterMs
+      )
         return { ok: false };
       const next = repair.viewWithNewcomer(currentView, newcomer);
       if (next) void viewChanger.propose(currentView.voters, next, `${newcomer.id} joins at the tail.`);
@@ -203,19 +211,19 @@
       async leave(): Promise<void> {
         leaving = true;
         const removeSelf = async (): Promise<void> => {
-          while (view && isInChain() && !isSick() && view.chain.length > Views.most(view)) {
-            if (!(await repair.leave(view))) await Timer.nap(world.clock, 20);
+          while (view && isInChain() && !isSick() && view.chain.length > Views.majority(view)) {
+            if (!(await repair.leave(view))) await Timer.sleep(world.clock, 20);
           }
           await viewChanger.announced();
         };
-        await Timer.within(world.clock, CoreTimings.leaveTimeoutMs, removeSelf(), () => undefined);
+        await Timer.withTimeout(world.clock, CoreTimings.leaveTimeoutMs, removeSelf(), () => undefined);
       },
       stop(): void {
         stop();
       },
       view: (): View | null => view,
-      life: (): string => lifecycle.machine.current,
-      live: holdsLease,
+      lifecycleState: (): string => lifecycle.machine.current,
+      holdsLease,
       chain,
       service,
     };
--- a/packages/registry/src/corelife.test.ts
+++ b/packages/registry/src/corelifecycle.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import { interpret } from 'robot3';
-import { CoreLifecycle } from './corelife.js';
+import { CoreLifecycle } from './corelifecycle.js';
 
 const cases: [string[], string][] = [
   [[], 'blank'],
--- a/packages/registry/src/coretimings.ts
+++ b/packages/registry/src/coretimings.ts
@@ -12,11 +12,11 @@
   /** A disk write pending for longer makes the replica unhealthy. */
   diskStallMs: 1500,
   /** Term of a named lease given to a daemon. */
-  lease: 2000,
+  namedLeaseMs: 2000,
   /**
    * How long a daemon waits before it acts under a lease that had an earlier holder, so that this holder has stopped.
    */
-  quiet: 3000,
+  takeoverDelayMs: 3000,
   /** A daemon that has not checked in for this long is not live. */
   daemonExpiryMs: 2000,
   /** How long a candidate for the first view is remembered. */
--- a/packages/registry/src/duties/leases.ts
+++ b/packages/registry/src/duties/namedleases.ts
@@ -1,7 +1,7 @@
 import { Verdicts, type Clock } from '@pumicebarrow/forms';
 import type { Chain } from '../chain/chain.js';
 import { CoreTimings } from '../coretimings.js';
-import type { CommandResult } from '../chain/ruling.js';
+import type { CommandResult } from '../chain/commandresult.js';
 
 /**
  * Named leases, granted by the head. The holder and its fencing token are replicated in the chain; the expiry time is
@@ -16,32 +16,34 @@
     return {
       onViewChange(): void {
         expiresAt.clear();
-        newHeadWaitUntil = clock.mono() + CoreTimings.lease;
+        newHeadWaitUntil = clock.mono() + CoreTimings.namedLeaseMs;
       },
       /** Ends the lease at once if this daemon incarnation holds it. */
       release(name: string, id: string, incarnation: string): void {
-        const holder = chain.passed()?.claims[name];
+        const holder = chain.committed()?.claims[name];
         if (holder && holder.id === id && holder.born === incarnation) expiresAt.set(name, 0);
       },
       /** Grants or renews a lease, or refuses with the time until it may be free. */
       async acquire(name: string, id: string, incarnation: string): Promise<CommandResult> {
-        const holder = chain.passed()?.claims[name],
+        const holder = chain.committed()?.claims[name],
           now = clock.mono();
         if (!holdsLease() || !chain.isReady())
-          return { verdict: Verdicts.not('unready', 'The control replicas are not ready.', 1) };
+          return { verdict: Verdicts.notRun('unready', 'The core is not ready.', 1) };
         if (holder && holder.id === id && holder.born === incarnation) {
           if (pendingTransfers.has(name))
-            return { verdict: Verdicts.not('busy', 'The lease is being granted to another daemon.', 1) };
-          expiresAt.set(name, now + CoreTimings.lease);
+            return { verdict: Verdicts.notRun('busy', 'The lease is changing hands.', 1) };
+          expiresAt.set(name, now + CoreTimings.namedLeaseMs);
           return { verdict: Verdicts.ran('claimed', `${id} holds ${name}.`), fence: holder.fence };
         }
         const waitMs = holder ? (expiresAt.get(name) ?? newHeadWaitUntil) - now : 0;
         if (waitMs > 0 || pendingTransfers.has(name))
-          return { verdict: Verdicts.not('held', `${name} is held by another daemon.`, Math.max(waitMs, 100) / 1000) };
+          return {
+            verdict: Verdicts.notRun('held', `${name} is held.`, Math.max(waitMs, 100) / 1000),
+          };
         pendingTransfers.add(name);
         const result = await chain.write({ do: 'claim', name, id, born: incarnation });
         pendingTransfers.delete(name);
-        expiresAt.set(name, clock.mono() + CoreTimings.lease);
+        expiresAt.set(name, clock.mono() + CoreTimings.namedLeaseMs);
         return result;
       },
     };
--- a/packages/registry/src/duties/mix.ts
+++ b/packages/registry/src/duties/prefilltarget.ts
@@ -4,8 +4,8 @@
  * How many servers should serve the prefill stage: the body of the shared document `mix`, written under its lease. `by`
  * is the writer.
  */
-export const Mix = Type.Object(
+export const PrefillTarget = Type.Object(
   { prefill: Type.Integer({ minimum: 1 }), by: Type.String() },
   { additionalProperties: false },
 );
-export type Mix = Static<typeof Mix>;
+export type PrefillTarget = Static<typeof PrefillTarget>;
--- a/packages/registry/src/duties/sheetrow.ts
+++ b/packages/registry/src/duties/stageassignment.ts
@@ -5,7 +5,7 @@
  * Invariant: written only by the holder of that row's lease, whose fence is in the mark. `part` is the assigned stage,
  * `stage` its progress, `born` the server's incarnation.
  */
-export const SheetRow = Type.Object(
+export const StageAssignment = Type.Object(
   {
     server: Type.String(),
     born: Type.String(),
@@ -15,4 +15,4 @@
   },
   { additionalProperties: false },
 );
-export type SheetRow = Static<typeof SheetRow>;
+export type StageAssignment = Static<typeof StageAssignment>;
--- a/packages/registry/src/lending/burstrule.ts
+++ b/packages/registry/src/lending/burstadmission.ts
@@ -1,4 +1,4 @@
-import { Intents, Verdicts, type Verdict } from '@pumicebarrow/forms';
+import { Configurations, Verdicts, type Verdict } from '@pumicebarrow/forms';
 import type { CoreState } from '../state/corestate.js';
 import type { BurstSpec } from './burstspec.js';
 
@@ -9,7 +9,7 @@
 export const BurstAdmission = {
   mayBegin: (state: CoreState | null, spec: Pick<BurstSpec, 'key' | 'rule'>): boolean =>
     state?.bursts?.some((b) => b.spec.key === spec.key) === true ||
-    Intents.charter(state?.charter?.body)?.lending?.rules.includes(spec.rule) === true,
+    Configurations.asFleet(state?.charter?.body)?.lending?.rules.includes(spec.rule) === true,
   refusal: (rule: string): Verdict =>
-    Verdicts.not('notlent', `The configuration in force does not allow bursts of ${rule} to borrow capacity.`),
+    Verdicts.notRun('notlent', `The charter in force lets no bursts of ${rule} borrow.`),
 };
--- a/packages/registry/src/lending/bursts.test.ts
+++ b/packages/registry/src/lending/bursts.test.ts
@@ -1,13 +1,13 @@
-import { Check } from '@pumicebarrow/forms';
+import { SchemaCheck } from '@pumicebarrow/forms';
 import { expect } from 'chai';
 import type { Static } from 'typebox';
-import { Apply } from '../state/apply.js';
+import { CoreStateMachine } from '../state/corestatemachine.js';
 import { CoreState } from '../state/corestate.js';
 import type { BurstCommand } from './burstcommand.js';
-import { BurstAdmission } from './burstrule.js';
+import { BurstAdmission } from './burstadmission.js';
 import { Bursts } from './bursts.js';
 import { BurstSummary } from './burstsummary.js';
-import { Shards } from './shards.js';
+import { BurstShards } from './burstshards.js';
 
 type Command = Static<typeof BurstCommand>;
 const spec = (key = 'b', samples = 2, repeats = 0) => ({
@@ -22,7 +22,7 @@
   ...{ do: 'settle', id: 'b', index, mark: number, turn, to, ...(to === 'ran' ? { text: 'x', count: 1 } : {}) },
 });
 const end: Command = { do: 'end', id: 'b' };
-const lease = (id: string) => ({ do: 'claim' as const, name: Shards.of('b'), id, born: 'x' });
+const lease = (id: string) => ({ do: 'claim' as const, name: BurstShards.leaseNameOf('b'), id, born: 'x' });
 
 type Step = Command | ReturnType<typeof lease>;
 const cases: [string, Step[], string[], string][] = [
@@ -93,11 +93,11 @@
 describe('Bursts', () => {
   for (const [name, commands, codes, states] of cases) {
     it(`handles ${name}`, () => {
-      let state = Apply.one(Apply.empty, lease('e1')).state;
+      let state = CoreStateMachine.apply(CoreStateMachine.emptyState, lease('e1')).state;
       const actual = commands.map((command) => {
-        const outcome = Apply.one(state, command);
+        const outcome = CoreStateMachine.apply(state, command);
         state = outcome.state;
-        expect(Check.is(CoreState, state), `valid state after ${command.do}`).to.equal(true);
+        expect(SchemaCheck.matches(CoreState, state), `valid state after ${command.do}`).to.equal(true);
         return outcome.ruling.verdict.code;
       });
       expect(actual).to.deep.equal(codes);
@@ -106,17 +106,17 @@
     });
   }
   it('records the reported outcome and counts generations by state', () => {
-    let state = Apply.one(Apply.empty, lease('e1')).state;
-    for (const c of [begin(), mark(0), settle(0, 'ran')]) state = Apply.one(state, c).state;
+    let state = CoreStateMachine.apply(CoreStateMachine.emptyState, lease('e1')).state;
+    for (const c of [begin(), mark(0), settle(0, 'ran')]) state = CoreStateMachine.apply(state, c).state;
     expect(state.bursts![0]!.generations[0]).to.deep.equal({
       ...{ state: 'ran', mark: 1, turn: 1, repeated: 0, text: 'x', count: 1 },
     });
     expect(BurstSummary.of(state.bursts![0]!)).to.include({ total: 2, ran: 1, waiting: 1, begun: 0 });
   });
   it('refuses a burst beyond the limits before anything is written', () => {
-    let state = Apply.empty;
+    let state = CoreStateMachine.emptyState;
     const beginBurst = (key: string, samples: number, part = 'q'): string => {
-      const outcome = Apply.one(state, {
+      const outcome = CoreStateMachine.apply(state, {
         do: 'begin',
         spec: { ...spec(key, samples), prompts: Array.from({ length: 5 }, () => ({ prefix: '', part })) },
       });
@@ -135,17 +135,20 @@
     expect(state.bursts!.map((b) => b.order)).to.deep.equal([1, 2, 3, 4]);
   });
   it('finishes only when every generation has an outcome', () => {
-    let state = Apply.one(Apply.empty, lease('e1')).state;
-    for (const c of [begin('b', 1), mark(0)]) state = Apply.one(state, c).state;
+    let state = CoreStateMachine.apply(CoreStateMachine.emptyState, lease('e1')).state;
+    for (const c of [begin('b', 1), mark(0)]) state = CoreStateMachine.apply(state, c).state;
     expect(Bursts.isFinished(state.bursts![0]!)).to.equal(false);
-    state = Apply.one(state, settle(0, 'unsure')).state;
+    state = CoreStateMachine.apply(state, settle(0, 'unsure')).state;
     expect(Bursts.isFinished(state.bursts![0]!)).to.equal(true);
   });
   it('accepts a repeated begin although the configuration no longer lets the rule borrow', () => {
-    const held = Apply.one(Apply.one(Apply.empty, lease('e1')).state, begin()).state;
+    const held = CoreStateMachine.apply(
+      CoreStateMachine.apply(CoreStateMachine.emptyState, lease('e1')).state,
+      begin(),
+    ).state;
     expect(BurstAdmission.mayBegin(held, spec())).to.equal(true);
     expect(BurstAdmission.mayBegin(held, spec('other'))).to.equal(false);
-    expect(BurstAdmission.mayBegin(Apply.empty, spec())).to.equal(false);
+    expect(BurstAdmission.mayBegin(CoreStateMachine.emptyState, spec())).to.equal(false);
     expect(BurstAdmission.mayBegin(null, spec())).to.equal(false);
   });
 });
--- a/packages/registry/src/lending/bursts.ts
+++ b/packages/registry/src/lending/bursts.ts
@@ -4,7 +4,7 @@
 import type { BurstCommand } from './burstcommand.js';
 import type { BurstSpec } from './burstspec.js';
 import type { Generation } from './generation.js';
-import { Shards } from './shards.js';
+import { BurstShards } from './burstshards.js';
 
 type Command = Static<typeof BurstCommand>;
 type CommandOf<Kind extends Command['do']> = Extract<Command, { do: Kind }>;
@@ -13,7 +13,7 @@
 
 /** Limits on one burst (generations, bytes of prompts) and on all recorded bursts. */
 const LIMITS = {
-  generationsPerBurst: 256,
+  generations: 256,
   totalGenerations: 1024,
   promptBytes: 32_768,
   keptBursts: 16,
@@ -31,7 +31,7 @@
   isFinished,
   /** Applies a command. Repeating a command that has taken effect succeeds and changes nothing. */
   apply(bursts: readonly Burst[], leases: LeaseFences, command: Command): Outcome {
-    const refuse = (code: string, why: string): Outcome => ({ bursts, verdict: Verdicts.not(code, why) });
+    const refuse = (code: string, why: string): Outcome => ({ bursts, verdict: Verdicts.notRun(code, why) });
     const acknowledge = (code: string, why: string): Outcome => ({ bursts, verdict: Verdicts.ran(code, why) });
     const burstKey = command.do === 'begin' ? command.spec.key : command.id;
     const existing = bursts.find((b) => b.spec.key === burstKey);
@@ -41,45 +41,44 @@
     });
 
     const begin = (spec: BurstSpec): Outcome => {
-      const digest = Hash.of([spec.rule, spec.prompts.map((p) => [p.prefix, p.part]), spec.samples, spec.repeats]),
+      const digest = Hash.ofValue([spec.rule, spec.prompts.map((p) => [p.prefix, p.part]), spec.samples, spec.repeats]),
         generationCount = spec.prompts.length * spec.samples;
       if (existing)
         return existing.digest === digest
-          ? acknowledge('begun', `Burst ${burstKey} has begun.`)
+          ? acknowledge('begun', `Burst ${burstKey} is begun.`)
           : refuse('otherbody', `The key ${burstKey} was used for another burst.`);
       const promptBytes = spec.prompts.reduce((n, p) => n + Buffer.byteLength(p.prefix) + Buffer.byteLength(p.part), 0);
-      if (generationCount > LIMITS.generationsPerBurst || promptBytes > LIMITS.promptBytes)
+      if (generationCount > LIMITS.generations || promptBytes > LIMITS.promptBytes)
         return refuse(
           'toolarge',
-          `At most ${LIMITS.generationsPerBurst} generations and ${LIMITS.promptBytes} bytes of prompts per burst.`,
+          `A burst has ${LIMITS.generations} generations and ${LIMITS.promptBytes} bytes of prompts at the most.`,
         );
       const keptBursts = bursts.filter((b) => !b.gone);
       if (
         keptBursts.length >= LIMITS.keptBursts ||
         keptBursts.reduce((n, b) => n + b.generations.length, 0) + generationCount > LIMITS.totalGenerations
       )
-        return refuse('full', 'Too many bursts are recorded; end those whose outcomes have been read.');
+        return refuse('full', 'Too many bursts are kept; end those whose outcomes were read.');
       const initial: Generation = { state: 'waiting', mark: 0, turn: 0, repeated: 0 };
       const order = 1 + bursts.reduce((n, b) => Math.max(n, b.order), 0);
       const created: Burst = {
         ...{ spec, digest, order, ended: false, gone: false },
         generations: Array.from({ length: generationCount }, () => initial),
       };
-      return { bursts: [...bursts, created], verdict: Verdicts.ran('begun', `Burst ${burstKey} has begun.`) };
+      return { bursts: [...bursts, created], verdict: Verdicts.ran('begun', `Burst ${burstKey} is begun.`) };
     };
     /** Drops the waiting generations. Once none is running, a second `end` also deletes the outcomes. */
     const end = (burst: Burst): Outcome => {
-      if (burst.gone) return acknowledge('gone', `Burst ${burstKey} is ended and its outcomes are deleted.`);
+      if (burst.gone) return acknowledge('gone', `Burst ${burstKey} is ended, and its outcomes are gone.`);
       if (!isFinished(burst)) {
-        if (burst.ended)
-          return acknowledge('ending', `Burst ${burstKey} is ended; generations that have begun still run.`);
+        if (burst.ended) return acknowledge('ending', `Burst ${burstKey} is ended; what was begun runs on.`);
         const generations = burst.generations.map((g) =>
           g.state === 'waiting' ? { ...g, state: 'dropped' as const } : g,
         );
         return replaceBurst(
           { ...burst, ended: true, generations },
           'ending',
-          `Burst ${burstKey} is ended; generations that have begun still run.`,
+          `Burst ${burstKey} is ended; what was begun runs on.`,
         );
       }
       const forgotten = {
@@ -93,7 +92,7 @@
       const surplus = remaining.filter((x) => x.gone).slice(0, -LIMITS.forgottenBursts);
       return {
         bursts: remaining.filter((x) => !surplus.includes(x)),
-        verdict: Verdicts.ran('gone', `Burst ${burstKey} is ended and its outcomes are deleted.`),
+        verdict: Verdicts.ran('gone', `Burst ${burstKey} is ended, and its outcomes are gone.`),
       };
     };
     const replaceGeneration = (burst: Burst, index: number, generation: Generation, code: string): Outcome =>
@@ -103,14 +102,14 @@
         `${burstKey} ${index}: ${code}.`,
       );
     const mark = (burst: Burst, generation: Generation, request: CommandOf<'mark'>): Outcome => {
-      if (leases[Shards.of(burstKey)]?.fence !== request.fence)
+      if (leases[BurstShards.leaseNameOf(burstKey)]?.fence !== request.fence)
         return refuse('fenced', 'Another daemon runs this burst.');
       const isSameMark = generation.state === 'begun' && generation.mark === request.mark;
       if (isSameMark && generation.turn === request.turn && generation.fence === request.fence)
         return acknowledge('marked', `${burstKey} ${request.index} is marked.`);
       const isFirstTurn = generation.state === 'waiting' && request.mark === generation.mark + 1 && request.turn === 1;
       if (!(isFirstTurn || (isSameMark && request.turn === generation.turn + 1)))
-        return refuse('stale', `${burstKey} ${request.index} is not in the state that this request expects.`);
+        return refuse('stale', `${burstKey} ${request.index} is not as you know it.`);
       return replaceGeneration(
         burst,
         request.index,
@@ -126,7 +125,7 @@
       const isCurrentMark =
         generation.state === 'begun' && generation.mark === request.mark && request.turn <= generation.turn;
       if (!isCurrentMark || (request.to !== 'ran' && request.turn !== generation.turn))
-        return refuse('stale', `${burstKey} ${request.index} is not in the state that this request expects.`);
+        return refuse('stale', `${burstKey} ${request.index} is not as you know it.`);
       const { fence: _fence, ...withoutFence } = generation;
       const reopened = { ...withoutFence, state: burst.ended ? ('dropped' as const) : ('waiting' as const) };
       if (request.to === 'unrun') return replaceGeneration(burst, request.index, reopened, 'settled');
--- a/packages/registry/src/lending/burstdesk.ts
+++ b/packages/registry/src/lending/burstservice.ts
@@ -1,9 +1,9 @@
-import type { PostBox } from '@pumicebarrow/forms';
+import type { Messenger } from '@pumicebarrow/forms';
 import type { CoreState } from '../state/corestate.js';
 import type { View } from '../consensus/view.js';
 import type { Burst } from './burst.js';
 import { BurstSummary } from './burstsummary.js';
-import { BurstMessages } from './burstwords.js';
+import { BurstMessages } from './burstmessages.js';
 
 type Hooks = { view: () => View | null; read: () => CoreState | null };
 
@@ -14,7 +14,7 @@
 
 /** Serves reads of bursts, only at the tail and under its lease, like reads of the configuration. */
 export const BurstService = {
-  make(post: PostBox, hooks: Hooks): void {
+  make(post: Messenger, hooks: Hooks): void {
     post.on('core.burst', BurstMessages.readRequest, (body) => {
       const state = hooks.read();
       if (!state) return { ok: false, view: hooks.view(), list: [], burst: null };
--- a/packages/registry/src/membership/addressbook.ts
+++ b/packages/registry/src/membership/addressbook.ts
@@ -1,4 +1,4 @@
-import { Fading, type PostBox, type World } from '@pumicebarrow/forms';
+import { ExpiringMap, type Messenger, type World } from '@pumicebarrow/forms';
 import { CoreMessages } from '../service/coremessages.js';
 import type { Member } from './member.js';
 import { CoreTimings } from '../coretimings.js';
@@ -17,8 +17,8 @@
  * replica replies for itself, so a wrong address costs a request but never affects a vote.
  */
 export const AddressBook = {
-  make(world: World, post: PostBox, me: () => Member, coreAddresses: () => readonly string[]) {
-    const addresses = Fading.make<string>(world.clock.mono, MAX_ADDRESSES);
+  make(world: World, post: Messenger, me: () => Member, coreAddresses: () => readonly string[]) {
+    const addresses = ExpiringMap.make<string>(world.clock.mono, MAX_ADDRESSES);
     const identityKey = (identity: Identity): string => `${identity.id}/${identity.born}`;
     let nextSearchAt = 0;
     const record = (member: Member): void => addresses.set(identityKey(member), member.addr, ADDRESS_TTL_MS);
@@ -30,7 +30,7 @@
       async search(view: View): Promise<void> {
         if (world.clock.mono() < nextSearchAt) return;
         nextSearchAt = world.clock.mono() + CoreTimings.addressSearchIntervalMs;
-        const targets = new Set([...coreAddresses(), ...Views.all(view).map((m) => m.addr)]);
+        const targets = new Set([...coreAddresses(), ...Views.allMembers(view).map((m) => m.addr)]);
         targets.delete(me().addr);
         await Promise.all(
           [...targets].map(async (addr) => {
--- a/packages/registry/src/membership/failuredetector.test.ts
+++ b/packages/registry/src/membership/failuredetector.test.ts
@@ -1,4 +1,4 @@
-import { Err, Ok, type PostBox, type World } from '@pumicebarrow/forms';
+import { Err, Ok, type Messenger, type World } from '@pumicebarrow/forms';
 import { expect } from 'chai';
 import { CoreTimings } from '../coretimings.js';
 import type { AddressBook } from './addressbook.js';
@@ -21,7 +21,7 @@
           ? Err('lost')
           : Ok({ me: member(id), view: VIEW, claim: true, sick: false, fresh: true }),
       ),
-  } as unknown as PostBox;
+  } as unknown as Messenger;
   const clock = { mono: () => now, wall: () => now, after: () => () => undefined };
   const addresses = {
     addressOf: (m: { addr: string }) => m.addr,
--- a/packages/registry/src/membership/failuredetector.ts
+++ b/packages/registry/src/membership/failuredetector.ts
@@ -1,4 +1,4 @@
-import { Awake, Fading, Timer, type PostBox, type World } from '@pumicebarrow/forms';
+import { SuspendDetector, ExpiringMap, Timer, type Messenger, type World } from '@pumicebarrow/forms';
 import { CoreMessages } from '../service/coremessages.js';
 import type { Member } from './member.js';
 import { CoreTimings } from '../coretimings.js';
@@ -19,8 +19,8 @@
  * before it was requested.
  */
 export const FailureDetector = {
-  make(world: World, post: PostBox, me: () => Member, addresses: AddressBook, voter: Voter) {
-    const heartbeats = Fading.make<Heartbeat>(world.clock.mono, MAX_MEMBERS);
+  make(world: World, post: Messenger, me: () => Member, addresses: AddressBook, voter: Voter) {
+    const heartbeats = ExpiringMap.make<Heartbeat>(world.clock.mono, MAX_MEMBERS);
     const leaseEnds = new Map<string, number>();
     const identityKey = (m: Member): string => `${m.id}/${m.born}`;
     const now = (): number => world.clock.mono();
@@ -32,10 +32,10 @@
     let resets = 0;
     let newestView: View | null = null;
     const awaitingReply = new Set<string>();
-    const lostDisks = Fading.make<boolean>(world.clock.mono, MAX_MEMBERS);
+    const lostDisks = ExpiringMap.make<boolean>(world.clock.mono, MAX_MEMBERS);
     /** When the first heartbeat was sent of those that a member has not answered since its last reply. */
     const unansweredSince = new Map<string, number>();
-    const awake = Awake.make(world.clock, () => {
+    const awake = SuspendDetector.make(world.clock, () => {
       leaseEnds.clear();
       unansweredSince.clear();
       sleeps++;
@@ -67,8 +67,8 @@
         viewStartedAt = now();
       },
       holdsLease(view: View | null): boolean {
-        awake.look();
-        if (!view || Views.place(view, me()) < 0) return false;
+        awake.check();
+        if (!view || Views.positionOf(view, me()) < 0) return false;
         const grantCount = view.voters.filter((m) => (leaseEnds.get(identityKey(m)) ?? 0) > now()).length;
         return grantCount > view.voters.length / 2;
       },
@@ -76,12 +76,12 @@
        * Sends one heartbeat to every other member that has answered the last one; returns the newest view seen so far.
        */
       async sendHeartbeats(view: View, self: { sick: boolean; fresh: boolean }): Promise<View | null> {
-        awake.look();
+        awake.check();
         const sentAt = now(),
           sleepsBefore = sleeps,
           resetsBefore = resets,
-          isInChain = Views.place(view, me()) >= 0;
-        if (isInChain && Views.votes(view, me()) && voter.grantLease(view.epoch, CoreTimings.viewLeaseMs, me()))
+          isInChain = Views.positionOf(view, me()) >= 0;
+        if (isInChain && Views.isVoter(view, me()) && voter.grantLease(view.epoch, CoreTimings.viewLeaseMs, me()))
           leaseEnds.set(identityKey(me()), sentAt + CoreTimings.viewLeaseMs);
         const sendHeartbeat = async (member: Member): Promise<void> => {
           const body = { me: me(), epoch: view.epoch, ...self };
@@ -94,7 +94,7 @@
             CoreTimings.requestTimeoutMs,
           );
           awaitingReply.delete(identityKey(member));
-          awake.look();
+          awake.check();
           if (!reply.ok) void addresses.search(view);
           if (sleeps !== sleepsBefore) return;
           if (reply.ok) unansweredSince.delete(identityKey(member));
@@ -103,17 +103,19 @@
           if (!reply.ok) return;
           if (reply.val.me.id === member.id && reply.val.me.born !== member.born)
             lostDisks.set(identityKey(member), true, MEMBER_TTL_MS);
-          if (!Views.same(reply.val.me, member)) return;
+          if (!Views.sameMember(reply.val.me, member)) return;
           recordHeartbeat(member, { sick: reply.val.sick, fresh: reply.val.fresh, epoch: reply.val.view?.epoch ?? 0 });
-          if (reply.val.claim && Views.votes(view, member) && resetsBefore === resets)
+          if (reply.val.claim && Views.isVoter(view, member) && resetsBefore === resets)
             leaseEnds.set(identityKey(member), sentAt + CoreTimings.viewLeaseMs);
           if (reply.val.view && reply.val.view.epoch > (newestView?.epoch ?? 0)) newestView = reply.val.view;
         };
-        const targets = Views.all(view).filter((m) => !Views.same(m, me()) && !awaitingReply.has(identityKey(m)));
+        const targets = Views.allMembers(view).filter(
+          (m) => !Views.sameMember(m, me()) && !awaitingReply.has(identityKey(m)),
+        );
         for (const m of targets) awaitingReply.add(identityKey(m));
         await Promise.race([
           Promise.all(targets.map(sendHeartbeat)),
-          Timer.nap(world.clock, CoreTimings.heartbeatIntervalMs),
+          Timer.sleep(world.clock, CoreTimings.heartbeatIntervalMs),
         ]);
         return newestView;
       },
--- a/packages/registry/src/membership/livedaemons.ts
+++ b/packages/registry/src/membership/livedaemons.ts
@@ -19,7 +19,7 @@
         entries = new Map();
         listeningSince = clock.mono();
       },
-      note(who: Ident, version: number, sum: string, load: Load): void {
+      record(who: Ident, version: number, sum: string, load: Load): void {
         const next = new Map(entries);
         next.set(who.id, { who, version, sum, load, lastSeenAt: clock.mono() });
         entries = next;
@@ -36,7 +36,7 @@
           : liveEntries()
               .map((s) => s.who)
               .sort((a, b) => (a.id < b.id ? -1 : 1)),
-      load: (): Load =>
+      totalLoad: (): Load =>
         liveEntries().reduce((a, s) => ({ read: a.read + s.load.read, write: a.write + s.load.write }), {
           read: 0,
           write: 0,
--- a/packages/registry/src/membership/repairtask.ts
+++ b/packages/registry/src/membership/repairtask.ts
@@ -21,13 +21,13 @@
  */
 export const RepairTask = {
   make(me: () => Member, mono: () => number, detector: FailureDetector, viewChanger: ViewChanger, chain: Chain) {
-    const isSelf = (member: Member): boolean => Views.same(member, me());
+    const isSelf = (member: Member): boolean => Views.sameMember(member, me());
     const isFaulty = (member: Member): boolean =>
       detector.lastHeartbeat(member)?.sick === true || detector.hasLostDisk(member);
     /** A member that a majority does not answer is cut off itself and cannot tell which others are. */
     const majorityReplies = (view: View): boolean =>
       view.voters.filter((m) => isSelf(m) || detector.unansweredForMs(m) < CoreTimings.suspectAfterMs).length >=
-      Views.most(view);
+      Views.majority(view);
     const isUnresponsive = (view: View, member: Member, delayMs: number): boolean =>
       detector.silentForMs(member) > CoreTimings.suspectAfterMs + delayMs ||
       (detector.unansweredForMs(member) > UNANSWERED_TIMEOUT_MS + delayMs && majorityReplies(view));
@@ -38,7 +38,7 @@
     };
     /** Chain members without a vote that hold the whole state of this view. */
     const caughtUpNonVoters = (view: View): Member[] =>
-      view.chain.filter((m) => !isSelf(m) && !Views.votes(view, m) && isCaughtUp(view, m));
+      view.chain.filter((m) => !isSelf(m) && !Views.isVoter(view, m) && isCaughtUp(view, m));
     const knowledge = (view: View) => ({
       fresh: (m: Member): boolean => (isSelf(m) ? chain.fresh() : isCaughtUp(view, m)),
       emptied: (m: Member): boolean => detector.hasLostDisk(m),
@@ -51,7 +51,7 @@
       const isReachable = (m: Member): boolean =>
         isSelf(m) || (detector.silentForMs(m) < CoreTimings.suspectAfterMs && !isFaulty(m));
       const newHead = (view.reserve ?? []).find(isReachable);
-      return newHead ? NextViews.promoting(view, newHead, away, knowledge(view)) : null;
+      return newHead ? NextViews.withReserveAsHead(view, newHead, away, knowledge(view)) : null;
     };
     const removeMembers = (view: View, faulty: readonly Member[]): void => {
       const reachableVoters = view.voters.filter(
@@ -68,7 +68,7 @@
             ? 'silent'
             : 'deaf';
       const reason = `${faulty.map((m) => m.id).join(', ')}: ${cause}.`;
-      propose(view, NextViews.without(view, faulty, knowledge(view)) ?? reserveTakeover(view, faulty), reason);
+      propose(view, NextViews.withoutMembers(view, faulty, knowledge(view)) ?? reserveTakeover(view, faulty), reason);
     };
     /** Which vote should be transferred to which member; null if none. */
     const voteTransfer = (view: View): { newVoter: Member; oldVoter: Member } | null => {
@@ -92,16 +92,17 @@
       noLeaseSince = null;
       propose(
         view,
-        NextViews.without(view, [], knowledge(view)),
+        NextViews.withoutMembers(view, [], knowledge(view)),
         'No lease was granted, though heartbeats arrive from all members.',
       );
     };
     /** Records members that have caught up as complete, where nothing can be committed before that. */
     const recordCompletion = (view: View): void => {
-      const majority = Views.most(view);
-      if (Views.complete(view).length >= majority || !isSelf(Views.head(view))) return;
-      const next = NextViews.without(view, [], knowledge(view));
-      if (next && Views.complete(next).length >= majority) propose(view, next, 'Enough members are complete again.');
+      const majority = Views.majority(view);
+      if (Views.completeMembers(view).length >= majority || !isSelf(Views.head(view))) return;
+      const next = NextViews.withoutMembers(view, [], knowledge(view));
+      if (next && Views.completeMembers(next).length >= majority)
+        propose(view, next, 'Enough members are complete again.');
     };
     return {
       /** The view with a joining member at the tail; null if there is none. */
@@ -109,13 +110,13 @@
         NextViews.withTail(view, newcomer, knowledge(view)),
       /** Run by a member of the reserve: it becomes the head once every chain member that could lead is unavailable. */
       takeOverFromReserve(view: View): void {
-        if (viewChanger.isBusy() || !Views.votes(view, me()) || !Views.isInReserve(view, me())) return;
+        if (viewChanger.isBusy() || !Views.isVoter(view, me()) || !Views.isInReserve(view, me())) return;
         const away = view.chain.filter((m) => shouldRemove(view, m));
         propose(view, reserveTakeover(view, away), `${me().id} takes over as head from the reserve.`);
       },
       /** Run by a voter in the chain at each heartbeat interval: proposes at most one repair. */
       checkMembers(view: View): void {
-        if (viewChanger.isBusy() || !Views.votes(view, me())) return;
+        if (viewChanger.isBusy() || !Views.isVoter(view, me())) return;
         const peers = view.chain.filter((m) => !isSelf(m));
         const faulty = peers.filter((m) => shouldRemove(view, m));
         if (faulty.length > 0) {
@@ -136,13 +137,13 @@
           const heartbeat = detector.lastHeartbeat(m);
           return heartbeat && !heartbeat.fresh && heartbeat.epoch === view.epoch;
         });
-        if (Views.same(Views.head(view), me()) && behind) chain.resync();
+        if (Views.sameMember(Views.head(view), me()) && behind) chain.resync();
       },
       /** Proposes the view without this daemon; its vote goes to a caught-up member if there is one. */
       async leave(view: View): Promise<boolean> {
-        const next = NextViews.without(view, [me()], knowledge(view));
-        if (!next || Views.complete(next).length < Views.most(view)) return false;
-        const newVoter = Views.votes(view, me()) ? caughtUpNonVoters(view)[0] : undefined;
+        const next = NextViews.withoutMembers(view, [me()], knowledge(view));
+        if (!next || Views.completeMembers(next).length < Views.majority(view)) return false;
+        const newVoter = Views.isVoter(view, me()) ? caughtUpNonVoters(view)[0] : undefined;
         const voters = newVoter ? view.voters.map((x) => (isSelf(x) ? newVoter : x)) : view.voters;
         return viewChanger.propose(view.voters, { ...next, voters }, `${me().id} leaves.`);
       },
--- a/packages/registry/src/registrar.ts
+++ b/packages/registry/src/registrynode.ts
@@ -1,16 +1,16 @@
-import { Err, Ok, Post, type Doc, type Ident, type Result, type World } from '@pumicebarrow/forms';
-import { Purge, Shelf, type Tunes } from '@pumicebarrow/purge';
+import { Err, Ok, Messaging, type Doc, type Ident, type Result, type World } from '@pumicebarrow/forms';
+import { Gossip, InMemoryRecordStore, type GossipSettings } from '@pumicebarrow/purge';
 import { Core } from './core.js';
 import { ControlClient } from './chain/controlclient.js';
-import { Self } from './membership/memberidentity.js';
+import { MemberIdentity } from './membership/memberidentity.js';
 import { RecordCheck } from './state/recordcheck.js';
-import { Store } from './state/store.js';
-import { TraceDesk } from './service/tracedesk.js';
+import { CoreStore } from './state/corestore.js';
+import { TraceService } from './service/traceservice.js';
 import { Views } from './consensus/views.js';
 
 /** Initial addresses; a function is called again whenever they are needed, for addresses that change at run time. */
 type Seeds = readonly string[] | (() => readonly string[]);
-type Settings = { id: string; addr: string; site: string; seeds: Seeds; tunes: Tunes } & {
+type Settings = { id: string; addr: string; site: string; seeds: Seeds; tunes: GossipSettings } & {
   /** Number of machines that may be lost at the same time: the first view has twice as many members plus one. */
   losses?: number;
   /** Whether this daemon, with an empty data folder, may help to form the first view; otherwise it only joins one. */
@@ -22,23 +22,23 @@
 };
 
 /** A control replica assembled from its parts: disk, core, gossip and messaging. */
-export const Registrar = {
+export const RegistryNode = {
   async make(world: World, settings: Settings) {
     if (!world.disk) return Err('a control replica requires a data folder') as Result<never, string>;
-    const store = Store.make(world, world.disk);
+    const store = CoreStore.make(world, world.disk);
     const log = world.log('core');
     const restored = await store.load();
     if (restored.err) return Err(restored.val) as Result<never, string>;
     if (restored.val.bad)
       log.warn('Found a damaged or missing data file; set all data files aside. Rejoining as a newcomer.');
-    const incarnation = await Self.born(world, store, restored.val.born);
+    const incarnation = await MemberIdentity.loadOrCreate(world, store, restored.val.born);
     if (incarnation.err) return Err(incarnation.val) as Result<never, string>;
     const { seq, charter } = restored.val.state;
     const diskSummary =
       restored.val.born === null
         ? 'with an empty disk'
         : `holding state ${seq}, configuration ${charter?.version ?? 0}`;
-    log.say(`Started as ${settings.id}/${incarnation.val} ${diskSummary}, view ${restored.val.view?.epoch ?? 0}.`);
+    log.info(`Started as ${settings.id}/${incarnation.val} ${diskSummary}, view ${restored.val.view?.epoch ?? 0}.`);
     const ident: Ident = {
       id: settings.id,
       born: incarnation.val,
@@ -46,12 +46,12 @@
       site: settings.site,
       role: 'registry',
     };
-    const post = Post.make(world, () => ident);
-    const recordStore = Shelf.make(settings.sound ?? RecordCheck.doc);
+    const post = Messaging.make(world, () => ident);
+    const recordStore = InMemoryRecordStore.make(settings.sound ?? RecordCheck.isValid);
     const configuredSeeds = settings.seeds;
     const seeds = (): readonly string[] =>
       typeof configuredSeeds === 'function' ? configuredSeeds() : configuredSeeds;
-    const purge = Purge.make(
+    const purge = Gossip.make(
       world,
       post,
       () => ident,
@@ -59,7 +59,7 @@
       settings.tunes,
       seeds,
       (): readonly Ident[] => [
-        ...Views.idents(core.view()),
+        ...Views.gossipPeers(core.view()),
         ...core.service.liveDaemons(),
         ...(settings.known?.() ?? []),
       ],
@@ -79,8 +79,8 @@
       losses: settings.losses ?? 1,
       mayFormFirstView: settings.first ?? true,
       onCommitted: (state) => {
-        if (!state.charter || state.charter.version <= (recordStore.mark('charter')?.[0] ?? 0)) return;
-        world.tell({ what: 'confirmed', version: state.charter.version, plan: state.charter.plan });
+        if (!state.charter || state.charter.version <= (recordStore.stamp('charter')?.[0] ?? 0)) return;
+        world.recordEvent({ what: 'confirmed', version: state.charter.version, plan: state.charter.plan });
         purge.publish({
           name: 'charter',
           mark: [state.charter.version, 0],
@@ -88,21 +88,21 @@
         });
       },
     });
-    TraceDesk.make(
+    TraceService.make(
       post,
       () => ident,
       purge,
       recordStore,
-      () => core.live() && core.chain.passed() !== null,
+      () => core.holdsLease() && core.chain.committed() !== null,
     );
     return Ok({
       ident,
       core,
       purge,
-      shelf: recordStore,
+      recordStore,
       post,
       /** Reads and writes as any other daemon does; the head or the tail may be this daemon. */
-      line: ControlClient.make(world, post, coreAddresses, core.view),
+      controlClient: ControlClient.make(world, post, coreAddresses, core.view),
       start(): void {
         core.start();
         purge.start();
--- a/packages/registry/src/service/diff.ts
+++ b/packages/registry/src/service/configurationdiff.ts
@@ -1,4 +1,4 @@
-import { Intents, type Intent } from '@pumicebarrow/forms';
+import { Configurations, type Configuration } from '@pumicebarrow/forms';
 
 type Change = { path: string; was: unknown; will: unknown; words: string };
 
@@ -34,12 +34,12 @@
 };
 
 /** The source of a routing adds nothing to the rest of it. */
-const withoutSource = (intent: Intent): unknown =>
-  Intents.routing(intent) ? { ...intent, source: undefined } : intent;
+const withoutSource = (intent: Configuration): unknown =>
+  Configurations.asRouting(intent) ? { ...intent, source: undefined } : intent;
 
 /** What a plan would change, as data and as sentences for operators. */
-export const Diff = {
-  of(before: Intent | null, after: Intent): Change[] {
+export const ConfigurationDiff = {
+  of(before: Configuration | null, after: Configuration): Change[] {
     const changes: Change[] = [];
     if (before === null)
       return [{ path: '', was: null, will: after, words: 'There is no charter yet; all of this is new.' }];
--- a/packages/registry/src/service/warnings.test.ts
+++ b/packages/registry/src/service/configurationwarnings.test.ts
@@ -1,6 +1,6 @@
-import type { Charter } from '@pumicebarrow/forms';
+import type { FleetConfiguration } from '@pumicebarrow/forms';
 import { expect } from 'chai';
-import { Warnings } from './warnings.js';
+import { ConfigurationWarnings } from './configurationwarnings.js';
 
 const server = (id: string, part: 'prefill' | 'decode' | 'either' = 'either', slots = 8) => ({
   ...{ id, site: 's', part, slots },
@@ -8,7 +8,7 @@
 const rule = (name: string, limit: number) => ({
   ...{ name, limit, weight: 1, urgency: 1, waitlist: 1, deadline: 1000, pieces: 1, bytes: 1000 },
 });
-const current: Charter = {
+const current: FleetConfiguration = {
   sites: ['s'],
   rules: [rule('review', 10), rule('verdict', 10)],
   servers: ['m1', 'm2', 'm3'].map((id) => server(id)),
@@ -21,7 +21,7 @@
 ];
 
 describe('ConfigurationWarnings', () => {
-  const cases: [string, Partial<Charter>, string[]][] = [
+  const cases: [string, Partial<FleetConfiguration>, string[]][] = [
     ['nothing about an unchanged configuration', {}, []],
     ['nothing about an added server', { servers: [...current.servers, server('m4')] }, []],
     ['nothing about the removal of a server out of service', { servers: [server('m1'), server('m2')] }, []],
@@ -61,13 +61,13 @@
   ];
   for (const [name, change, expected] of cases) {
     it(`reports ${name}`, () => {
-      expect(Warnings.of(current, { ...current, ...change }, rows)).to.deep.equal(expected);
+      expect(ConfigurationWarnings.of(current, { ...current, ...change }, rows)).to.deep.equal(expected);
     });
   }
-  const lendingTerms = (most: number, keep: number): Partial<Charter> => ({
+  const lendingTerms = (most: number, keep: number): Partial<FleetConfiguration> => ({
     lending: { rules: ['review'], most: { prefill: 0, decode: most }, keep: { prefill: 0, decode: keep }, length: 900 },
   });
-  const lending: [string, Partial<Charter>, Partial<Charter>, string[]][] = [
+  const lending: [string, Partial<FleetConfiguration>, Partial<FleetConfiguration>, string[]][] = [
     ['newly lent capacity', {}, lendingTerms(0.5, 4), ['up to 50% of the slots that decode may be lent to bursts']],
     ['no unchanged lending', lendingTerms(0.5, 4), lendingTerms(0.5, 4), []],
     [
@@ -80,10 +80,10 @@
   ];
   for (const [name, before, after, want] of lending) {
     it(`reports ${name}`, () => {
-      expect(Warnings.of({ ...current, ...before }, { ...current, ...after }, rows)).to.deep.equal(want);
+      expect(ConfigurationWarnings.of({ ...current, ...before }, { ...current, ...after }, rows)).to.deep.equal(want);
     });
   }
   it('reports nothing about a first configuration', () => {
-    expect(Warnings.of(null, current, [])).to.deep.equal([]);
+    expect(ConfigurationWarnings.of(null, current, [])).to.deep.equal([]);
   });
 });
--- a/packages/registry/src/service/warnings.ts
+++ b/packages/registry/src/service/configurationwarnings.ts
@@ -1,12 +1,13 @@
-import { Intents, type Charter, type Intent } from '@pumicebarrow/forms';
+import { Configurations, type FleetConfiguration, type Configuration } from '@pumicebarrow/forms';
 
 type InUse = { server: string; part: string; stage: string };
 /** A limit that falls below this fraction of its old value gets a warning. */
 const LARGE_REDUCTION_FRACTION = 0.5;
-const totalSlots = (configuration: Charter): number => configuration.servers.reduce((n, s) => n + s.slots, 0);
+const totalSlots = (configuration: FleetConfiguration): number =>
+  configuration.servers.reduce((n, s) => n + s.slots, 0);
 const reductionPercent = (before: number, after: number): string => `${Math.round((100 * (before - after)) / before)}%`;
 
-const capacityWarnings = (before: Charter, after: Charter): string[] => {
+const capacityWarnings = (before: FleetConfiguration, after: FleetConfiguration): string[] => {
   const warnings: string[] = [];
   const [oldSlots, newSlots] = [totalSlots(before), totalSlots(after)];
   if (newSlots < oldSlots * LARGE_REDUCTION_FRACTION)
@@ -21,7 +22,7 @@
   }
   return warnings;
 };
-const serverWarnings = (before: Charter, after: Charter, rows: readonly InUse[]): string[] => {
+const serverWarnings = (before: FleetConfiguration, after: FleetConfiguration, rows: readonly InUse[]): string[] => {
   const removed = before.servers.filter((s) => !after.servers.some((x) => x.id === s.id));
   const added = after.servers.filter((s) => !before.servers.some((x) => x.id === s.id));
   const removedInUse = removed.filter((s) => rows.some((r) => r.server === s.id && r.stage === 'serving'));
@@ -33,7 +34,7 @@
   }
   return warnings;
 };
-const stageWarnings = (after: Charter, rows: readonly InUse[]): string[] =>
+const stageWarnings = (after: FleetConfiguration, rows: readonly InUse[]): string[] =>
   after.servers.flatMap((server) => {
     const row = rows.find((r) => r.server === server.id && r.stage === 'serving');
     return row && server.part !== 'either' && server.part !== row.part
@@ -42,7 +43,7 @@
   });
 
 /** Warns if capacity is newly lent or no longer reserved, and names the rules whose bursts stop. */
-const lendingWarnings = (before: Charter, after: Charter): string[] => {
+const lendingWarnings = (before: FleetConfiguration, after: FleetConfiguration): string[] => {
   const warnings: string[] = [],
     [oldTerms, newTerms] = [before.lending, after.lending];
   for (const stage of ['prefill', 'decode'] as const) {
@@ -61,10 +62,10 @@
 };
 
 /** Parts of a plan that an operator should check, as sentences. Warnings never block a plan. */
-export const Warnings = {
-  of(before: Intent | null, after: Intent, rows: readonly InUse[]): string[] {
-    const oldConfiguration = Intents.charter(before),
-      newConfiguration = Intents.charter(after);
+export const ConfigurationWarnings = {
+  of(before: Configuration | null, after: Configuration, rows: readonly InUse[]): string[] {
+    const oldConfiguration = Configurations.asFleet(before),
+      newConfiguration = Configurations.asFleet(after);
     return !oldConfiguration || !newConfiguration
       ? []
       : [
--- a/packages/registry/src/service/coremessages.ts
+++ b/packages/registry/src/service/coremessages.ts
@@ -5,7 +5,7 @@
 import { StateChange } from '../state/statechange.js';
 import { Member } from '../membership/member.js';
 import { Plan } from '../state/plan.js';
-import { CommandResult } from '../chain/ruling.js';
+import { CommandResult } from '../chain/commandresult.js';
 import { View } from '../consensus/view.js';
 import { Vote } from '../consensus/vote.js';
 
--- a/packages/registry/src/service/coremetrics.ts
+++ b/packages/registry/src/service/coremetrics.ts
@@ -18,19 +18,19 @@
     });
     return [
       gauge('view_epoch', 'epoch of the view', view?.epoch ?? 0),
-      gauge('chain_place', '1 is the head; 0 is out of the chain', view ? Views.place(view, daemon.ident) + 1 : 0),
+      gauge('chain_place', '1 is the head; 0 is out of the chain', view ? Views.positionOf(view, daemon.ident) + 1 : 0),
       gauge(
         'chain_complete',
         'members of the chain that hold all that was confirmed',
-        view ? Views.complete(view).length : 0,
+        view ? Views.completeMembers(view).length : 0,
       ),
-      gauge('view_lease', '1 while it may speak for its view', daemon.core.live() ? 1 : 0),
+      gauge('view_lease', '1 while it may speak for its view', daemon.core.holdsLease() ? 1 : 0),
       gauge('state_sequence', 'sequence number of the state on disk', chain.state().seq),
       gauge('state_configuration', 'configuration on disk', chain.state().charter?.version ?? 0),
       gauge(
         'passed_configuration',
         'configuration known to be on all of the chain',
-        chain.passed()?.charter?.version ?? 0,
+        chain.committed()?.charter?.version ?? 0,
       ),
     ];
   },
--- a/packages/registry/src/service/tracedesk.ts
+++ b/packages/registry/src/service/traceservice.ts
@@ -1,5 +1,5 @@
-import { Ident, Mark, type PostBox } from '@pumicebarrow/forms';
-import type { Holding, Purging } from '@pumicebarrow/purge';
+import { Ident, VersionStamp, type Messenger } from '@pumicebarrow/forms';
+import type { RecordStore, GossipNode } from '@pumicebarrow/purge';
 import { Type } from 'typebox';
 
 const strict = { additionalProperties: false } as const;
@@ -7,7 +7,7 @@
 const Step = Type.Object(
   {
     name: Type.String(),
-    mark: Mark,
+    mark: VersionStamp,
     via: Type.String(),
     from: Type.String(),
     origin: Type.String(),
@@ -20,10 +20,10 @@
 );
 
 /** Reports which shared documents a daemon holds and how each of them reached it. */
-export const TraceDesk = {
-  forms: {
+export const TraceService = {
+  schemas: {
     request: Type.Object({ name: Type.Optional(Type.String()) }, strict),
-    told: Type.Object(
+    reply: Type.Object(
       {
         who: Ident,
         sure: Type.Optional(
@@ -31,22 +31,28 @@
             description: 'whether the daemon knows that its configuration is not older than one it had before',
           }),
         ),
-        marks: Type.Array(Type.Object({ name: Type.String(), mark: Mark }, strict)),
+        marks: Type.Array(Type.Object({ name: Type.String(), mark: VersionStamp }, strict)),
         steps: Type.Array(Step),
         count: Type.Record(Type.String(), Type.Number()),
       },
       strict,
     ),
   },
-  make(post: PostBox, self: () => Ident, purge: Purging, recordStore: Holding, isCurrent: () => boolean): void {
-    post.on('trace.tell', TraceDesk.forms.request, (body) => ({
+  make(
+    post: Messenger,
+    self: () => Ident,
+    purge: GossipNode,
+    recordStore: RecordStore,
+    isCurrent: () => boolean,
+  ): void {
+    post.on('trace.tell', TraceService.schemas.request, (body) => ({
       who: self(),
       sure: isCurrent(),
-      marks: [...recordStore.table().values()]
+      marks: [...recordStore.records().values()]
         .filter((d) => body.name === undefined || d.name === body.name)
         .map((d) => ({ name: d.name, mark: d.mark })),
-      steps: purge.diary(body.name),
-      count: purge.count(),
+      steps: purge.arrivals(body.name),
+      count: purge.counters(),
     }));
   },
 };
--- a/packages/registry/src/state/corestate.ts
+++ b/packages/registry/src/state/corestate.ts
@@ -1,4 +1,4 @@
-import { Intent } from '@pumicebarrow/forms';
+import { Configuration } from '@pumicebarrow/forms';
 import { Type, type Static } from 'typebox';
 import { Burst } from '../lending/burst.js';
 import { Plan } from './plan.js';
@@ -14,7 +14,7 @@
     charter: Type.Union([
       Type.Null(),
       Type.Object(
-        { version: Type.Integer({ minimum: 1 }), plan: Type.String(), body: Intent },
+        { version: Type.Integer({ minimum: 1 }), plan: Type.String(), body: Configuration },
         { additionalProperties: false },
       ),
     ]),
--- a/packages/registry/src/state/apply.test.ts
+++ b/packages/registry/src/state/corestatemachine.test.ts
@@ -1,10 +1,10 @@
-import type { Charter } from '@pumicebarrow/forms';
+import type { FleetConfiguration } from '@pumicebarrow/forms';
 import { expect } from 'chai';
-import { Apply } from './apply.js';
+import { CoreStateMachine } from './corestatemachine.js';
 import type { Command } from '../chain/command.js';
-import { Diff } from '../service/diff.js';
+import { ConfigurationDiff } from '../service/configurationdiff.js';
 
-const fleetConfiguration = (limit: number): Charter => ({
+const fleetConfiguration = (limit: number): FleetConfiguration => ({
   sites: ['s1'],
   rules: [{ name: 'verdict', weight: 1, urgency: 9, limit, waitlist: 5, deadline: 2000, pieces: 2, bytes: 1000 }],
   servers: [
@@ -56,9 +56,9 @@
 describe('CoreStateMachine', () => {
   for (const [name, commands, codes, version, planId] of cases) {
     it(`handles ${name}`, () => {
-      let state = Apply.empty;
+      let state = CoreStateMachine.emptyState;
       const actual = commands.map((c) => {
-        const outcome = Apply.one(state, c);
+        const outcome = CoreStateMachine.apply(state, c);
         state = outcome.state;
         return outcome.ruling.verdict.code;
       });
@@ -67,25 +67,25 @@
     });
   }
   it('raises the fence with each lease granted', () => {
-    let state = Apply.empty;
+    let state = CoreStateMachine.emptyState;
     const fences = ['e1', 'e2', 'e1'].map((id) => {
-      const outcome = Apply.one(state, lease(id));
+      const outcome = CoreStateMachine.apply(state, lease(id));
       state = outcome.state;
       return outcome.ruling.fence;
     });
     expect(fences).to.deep.equal([1, 2, 3]);
   });
   it('leaves the state unchanged for a refused command', () => {
-    const state = Apply.one(Apply.empty, plan('a', 0)).state;
-    expect(Apply.one(state, plan('b', 3)).state).to.equal(state);
-    expect(Apply.one(state, drop('x')).state).to.equal(state);
+    const state = CoreStateMachine.apply(CoreStateMachine.emptyState, plan('a', 0)).state;
+    expect(CoreStateMachine.apply(state, plan('b', 3)).state).to.equal(state);
+    expect(CoreStateMachine.apply(state, drop('x')).state).to.equal(state);
   });
 });
 
 const lending = { rules: ['x'], most: { prefill: 0, decode: 1 }, keep: { prefill: 1, decode: 1 }, length: 800 };
 
 describe('ConfigurationDiff', () => {
-  const diffCases: [string, Charter | null, Charter, string[]][] = [
+  const diffCases: [string, FleetConfiguration | null, FleetConfiguration, string[]][] = [
     ['no change', fleetConfiguration(1), fleetConfiguration(1), []],
     ['a changed number', fleetConfiguration(1), fleetConfiguration(2), ['/rules/verdict/limit changes from 1 to 2.']],
     [
@@ -103,5 +103,6 @@
     ['a first configuration', null, fleetConfiguration(1), ['There is no charter yet; all of this is new.']],
   ];
   for (const [name, was, will, words] of diffCases)
-    it(`describes ${name} in sentences`, () => expect(Diff.of(was, will).map((c) => c.words)).to.deep.equal(words));
+    it(`describes ${name} in sentences`, () =>
+      expect(ConfigurationDiff.of(was, will).map((c) => c.words)).to.deep.equal(words));
 });
