--- a/packages/registry/src/state/apply.ts
+++ b/packages/registry/src/state/corestatemachine.ts
@@ -1,9 +1,9 @@
-import { Intents, Verdicts, type Intent, type Verdict } from '@pumicebarrow/forms';
+import { Configurations, Verdicts, type Configuration, type Verdict } from '@pumicebarrow/forms';
 import type { Command } from '../chain/command.js';
 import type { CoreState } from './corestate.js';
 import { Bursts } from '../lending/bursts.js';
 import type { Plan } from './plan.js';
-import type { CommandResult } from '../chain/ruling.js';
+import type { CommandResult } from '../chain/commandresult.js';
 
 type Outcome = { state: CoreState; ruling: CommandResult };
 const MAX_PLANS = 200;
@@ -19,8 +19,8 @@
 /** The verdict on an unknown plan: 'no' only while no plan was ever dropped, since a dropped one may have won. */
 const unknownPlan = (state: CoreState, id: string): Verdict =>
   state.plans.length < MAX_PLANS
-    ? Verdicts.not('unknown', `There is no plan ${id}.`)
-    : Verdicts.maybe('forgotten', `Plan ${id} is no longer recorded; its outcome is unknown.`);
+    ? Verdicts.notRun('unknown', `There is no plan ${id}.`)
+    : Verdicts.maybeRun('forgotten', `Plan ${id} is not among the latest; what became of it is not known any more.`);
 
 /**
  * Whether a replacement of revision `base` that is not recorded can never have won. One that won stays recorded as long
@@ -34,16 +34,16 @@
  * A routing can be replaced only by a routing of a higher revision, never by a fleet configuration, so no revision is
  * in force twice.
  */
-const revisionFault = (currentIntent: Intent | undefined, nextIntent: Intent): Verdict | null => {
-  const revision = Intents.revision(currentIntent);
-  if (revision === 0 || Intents.revision(nextIntent) > revision) return null;
-  return Verdicts.bad([{ path: '/revision', why: `must be above ${revision}, which is in force` }]);
+const revisionFault = (currentIntent: Configuration | undefined, nextIntent: Configuration): Verdict | null => {
+  const revision = Configurations.revisionOf(currentIntent);
+  if (revision === 0 || Configurations.revisionOf(nextIntent) > revision) return null;
+  return Verdicts.invalid([{ path: '/revision', why: `must be above ${revision}, which is in force` }]);
 };
 
 /** Applies commands to the replicated state. Pure: the same state and command give the same result on every replica. */
-export const Apply = {
-  empty: { seq: 0, charter: null, plans: [], claims: {} } as CoreState,
-  one(state: CoreState, command: Command): Outcome {
+export const CoreStateMachine = {
+  emptyState: { seq: 0, charter: null, plans: [], claims: {} } as CoreState,
+  apply(state: CoreState, command: Command): Outcome {
     if (command.do === 'begin' || command.do === 'end' || command.do === 'mark' || command.do === 'settle') {
       const burstsBefore = state.bursts ?? [],
         { bursts, verdict } = Bursts.apply(burstsBefore, state.claims, command);
@@ -51,7 +51,7 @@
     }
     const refuse = (code: string, why: string, fate?: string): Outcome => ({
       state,
-      ruling: { verdict: Verdicts.not(code, why), ...(fate === undefined ? {} : { fate }) },
+      ruling: { verdict: Verdicts.notRun(code, why), ...(fate === undefined ? {} : { fate }) },
     });
     const existing = command.do === 'claim' ? undefined : state.plans.find((p) => p.id === command.id);
     const currentVersion = state.charter?.version ?? 0;
@@ -63,14 +63,11 @@
             ruling: { verdict: Verdicts.ran('planned', `Plan ${command.id} is stored.`), fate: existing.fate },
           };
         if (command.base !== currentVersion)
-          return refuse(
-            'stale',
-            `The plan is based on version ${command.base}; version ${currentVersion} is in force.`,
-          );
+          return refuse('stale', `The plan is against version ${command.base}; version ${currentVersion} is in force.`);
         const fault = revisionFault(state.charter?.body, command.charter);
         if (fault) return { state, ruling: { verdict: fault } };
         if (state.plans.filter((p) => p.fate === 'open').length >= MAX_OPEN_PLANS)
-          return refuse('full', 'Too many plans are open; drop some of them.');
+          return refuse('full', 'Too many plans are open; drop some.');
         const next = storePlan(state, { id: command.id, base: command.base, fate: 'open', charter: command.charter });
         return {
           state: next,
@@ -78,7 +75,7 @@
         };
       }
       case 'replace': {
-        const revision = Intents.revision(state.charter?.body);
+        const revision = Configurations.revisionOf(state.charter?.body);
         const wonResult = (version: number): CommandResult => ({
           verdict: Verdicts.ran('confirmed', `Replacement ${command.id} is version ${version}.`),
           version,
@@ -86,17 +83,13 @@
         });
         if (existing?.fate === 'won') return { state, ruling: wonResult(existing.version!) };
         if (existing)
-          return refuse(
-            'taken',
-            `${command.id} is already the id of a plan whose fate is ${existing.fate}.`,
-            existing.fate,
-          );
+          return refuse('taken', `${command.id} is the name of a plan that is ${existing.fate}.`, existing.fate);
         if (command.base !== revision && !neverWon(state, command.base, revision))
           return { state, ruling: { verdict: unknownPlan(state, command.id) } };
         if (command.base !== revision)
           return refuse(
             'lost',
-            `${command.id} is based on revision ${command.base}; revision ${revision} is in force.`,
+            `${command.id} is against revision ${command.base}; revision ${revision} is in force.`,
             'lost',
           );
         const fault = revisionFault(state.charter?.body, command.intent);
@@ -135,7 +128,7 @@
           return {
             state: next,
             ruling: {
-              verdict: Verdicts.not(
+              verdict: Verdicts.notRun(
                 'lost',
                 `Plan ${command.id} lost to version ${currentVersion}; it will never take hold.`,
               ),
@@ -166,7 +159,7 @@
             ruling: { verdict: Verdicts.ran('dropped', `Plan ${command.id} is dropped.`), fate: 'dropped' },
           };
         if (existing.fate !== 'open')
-          return refuse(existing.fate, `Plan ${command.id} was already ${existing.fate}.`, existing.fate);
+          return refuse(existing.fate, `Plan ${command.id} was ${existing.fate} before.`, existing.fate);
         const next = storePlan(state, { id: existing.id, base: existing.base, fate: 'dropped' });
         return {
           state: next,
--- a/packages/registry/src/state/store.ts
+++ b/packages/registry/src/state/corestore.ts
@@ -1,6 +1,6 @@
-import { Check, Err, Ok, type Disk, type Result, type World } from '@pumicebarrow/forms';
+import { SchemaCheck, Err, Ok, type Disk, type Result, type World } from '@pumicebarrow/forms';
 import { Type, type Static } from 'typebox';
-import { Apply } from './apply.js';
+import { CoreStateMachine } from './corestatemachine.js';
 import { CoreState } from './corestate.js';
 import { View } from '../consensus/view.js';
 import { Vote } from '../consensus/vote.js';
@@ -25,7 +25,7 @@
  * `self` is written last, once a file of every other kind exists. So a daemon that finds a damaged or missing file has
  * lost something that it may have told others: it sets all files aside and starts with a new incarnation.
  */
-export const Store = {
+export const CoreStore = {
   make(world: World, disk: Disk) {
     const fileNumbers = new Map<string, number>();
     const pendingWrites = new Map<number, number>();
@@ -38,7 +38,7 @@
       pendingWrites.set(writeId, startedAt);
       const result = await disk.put(kind, fileNumber, value);
       pendingWrites.delete(writeId);
-      world.tell({ what: 'stored', kind, ms: world.clock.mono() - startedAt, done: result.ok });
+      world.recordEvent({ what: 'stored', kind, ms: world.clock.mono() - startedAt, done: result.ok });
       return result;
     };
     return {
@@ -53,26 +53,26 @@
         const loaded = new Map<string, unknown>();
         let bad = false;
         for (const [kind, schema] of SCHEMAS) {
-          const file = await disk.last(kind);
+          const file = await disk.latest(kind);
           if (file.err) return Err(file.val);
           if (file.val === null) continue;
           fileNumbers.set(kind, file.val.n);
-          const parsed = Check.parse(schema, file.val.v);
+          const parsed = SchemaCheck.parse(schema, file.val.v);
           if (file.val.bad || parsed.err) bad = true;
           else loaded.set(kind, parsed.val);
         }
         const self = loaded.get('self') as Static<typeof IdentitySchema> | undefined;
         if (bad || isIncomplete(self, loaded)) {
-          const result = await disk.aside();
+          const result = await disk.setAside();
           return result.err
             ? Err(result.val)
-            : Ok({ born: null, view: null, vote: null, state: Apply.empty, bad: true });
+            : Ok({ born: null, view: null, vote: null, state: CoreStateMachine.emptyState, bad: true });
         }
         return Ok({
           born: self?.born ?? null,
           view: (loaded.get('view') as View | null | undefined) ?? null,
           vote: (loaded.get('vote') as Vote | null | undefined) ?? null,
-          state: (loaded.get('state') as CoreState | undefined) ?? Apply.empty,
+          state: (loaded.get('state') as CoreState | undefined) ?? CoreStateMachine.emptyState,
           bad: false,
         });
       },
@@ -85,7 +85,7 @@
           ? ([
               ['view', null],
               ['vote', null],
-              ['state', Apply.empty],
+              ['state', CoreStateMachine.emptyState],
             ] as const)
           : []) {
           const result = await put(kind, value);
@@ -97,4 +97,4 @@
   },
 };
 /** A store as its callers see it. */
-export type Store = ReturnType<typeof Store.make>;
+export type CoreStore = ReturnType<typeof CoreStore.make>;
--- a/packages/registry/src/state/plan.ts
+++ b/packages/registry/src/state/plan.ts
@@ -1,4 +1,4 @@
-import { Intent } from '@pumicebarrow/forms';
+import { Configuration } from '@pumicebarrow/forms';
 import { Type, type Static } from 'typebox';
 
 /**
@@ -13,7 +13,7 @@
     fate: Type.Union([Type.Literal('open'), Type.Literal('won'), Type.Literal('lost'), Type.Literal('dropped')]),
     version: Type.Optional(Type.Integer()),
     over: Type.Optional(Type.Integer({ minimum: 0, description: 'the revision that it replaced' })),
-    charter: Type.Optional(Intent),
+    charter: Type.Optional(Configuration),
   },
   { additionalProperties: false },
 );
--- a/packages/registry/src/state/recordcheck.ts
+++ b/packages/registry/src/state/recordcheck.ts
@@ -1,20 +1,26 @@
-import { Check, Clauses, type Doc } from '@pumicebarrow/forms';
-import { CharterBody } from './charterbody.js';
+import { SchemaCheck, ConfigurationValidator, type Doc } from '@pumicebarrow/forms';
+import { ConfigurationBody } from './configurationbody.js';
 import { Loan } from '../lending/loan.js';
-import { Mix } from '../duties/mix.js';
-import { SheetRow } from '../duties/sheetrow.js';
-import { Sighting } from '../duties/sighting.js';
+import { PrefillTarget } from '../duties/prefilltarget.js';
+import { StageAssignment } from '../duties/stageassignment.js';
+import { FailureReport } from '../duties/failurereport.js';
 
 /** Checks that a shared document has the body that its name requires. Only such documents are stored. */
 export const RecordCheck = {
-  doc(doc: Doc): boolean {
+  isValid(doc: Doc): boolean {
     if (doc.name === 'charter') {
-      const parsed = Check.parse(CharterBody, doc.body);
-      return parsed.ok && parsed.val.version === doc.mark[0] && Clauses.faults(parsed.val.charter).length === 0;
+      const parsed = SchemaCheck.parse(ConfigurationBody, doc.body);
+      return (
+        parsed.ok &&
+        parsed.val.version === doc.mark[0] &&
+        ConfigurationValidator.faults(parsed.val.charter).length === 0
+      );
     }
-    if (doc.name === 'mix') return Check.is(Mix, doc.body);
+    if (doc.name === 'mix') return SchemaCheck.matches(PrefillTarget, doc.body);
     const [kind, server] = doc.name.split(':');
-    const schema = kind === 'row' ? SheetRow : kind === 'sight' ? Sighting : kind === 'loan' ? Loan : null;
-    return schema !== null && Check.is(schema, doc.body) && (doc.body as { server: string }).server === server;
+    const schema = kind === 'row' ? StageAssignment : kind === 'sight' ? FailureReport : kind === 'loan' ? Loan : null;
+    return (
+      schema !== null && SchemaCheck.matches(schema, doc.body) && (doc.body as { server: string }).server === server
+    );
   },
 };
--- a/packages/registry/src/state/replace.test.ts
+++ b/packages/registry/src/state/replace.test.ts
@@ -1,6 +1,6 @@
-import type { Charter, Routing } from '@pumicebarrow/forms';
+import type { FleetConfiguration, Routing } from '@pumicebarrow/forms';
 import { expect } from 'chai';
-import { Apply } from './apply.js';
+import { CoreStateMachine } from './corestatemachine.js';
 import type { Command } from '../chain/command.js';
 
 const routing = (revision: number): Routing => ({
@@ -13,19 +13,19 @@
 const replacement = (id: string, base: number, revision: number): Command => ({
   ...{ do: 'replace' as const, id, base, intent: routing(revision) },
 });
-const plan = (id: string, base: number, configuration: Charter | Routing): Command => ({
+const plan = (id: string, base: number, configuration: FleetConfiguration | Routing): Command => ({
   do: 'plan',
   id,
   base,
   charter: configuration,
 });
 const confirm = (id: string): Command => ({ do: 'confirm', id });
-const fleetConfiguration = {} as Charter;
+const fleetConfiguration = {} as FleetConfiguration;
 /** Applies the commands in order; returns for each its verdict, with the version if there is one. */
-const applyAll = (commands: readonly Command[], initial = Apply.empty) => {
+const applyAll = (commands: readonly Command[], initial = CoreStateMachine.emptyState) => {
   let state = initial;
   const results = commands.map((c) => {
-    const outcome = Apply.one(state, c);
+    const outcome = CoreStateMachine.apply(state, c);
     state = outcome.state;
     const { verdict, version } = outcome.ruling;
     return [verdict.ran, verdict.code, ...(version === undefined ? [] : [version])].join(' ');
@@ -119,13 +119,13 @@
   }
   it('names the path of a revision that does not rise', () => {
     const { state } = applyAll([replacement('a', 0, 3)]);
-    const { verdict } = Apply.one(state, replacement('b', 3, 3)).ruling;
+    const { verdict } = CoreStateMachine.apply(state, replacement('b', 3, 3)).ruling;
     expect(verdict.faults?.map((f) => f.path)).to.deep.equal(['/revision']);
   });
   it('stores nothing for a replacement that did not win, and no body for one that won', () => {
     const { state } = applyAll([replacement('a', 0, 1)]);
     for (const c of [replacement('a', 0, 1), replacement('b', 0, 2), replacement('c', 1, 1)])
-      expect(Apply.one(state, c).state).to.equal(state);
+      expect(CoreStateMachine.apply(state, c).state).to.equal(state);
     expect(state.plans).to.deep.equal([{ id: 'a', base: 0, fate: 'won', version: 1, over: 0 }]);
   });
   it('answers maybe for a dropped replacement that may have won', () => {
--- a/packages/registry/src/state/statechange.ts
+++ b/packages/registry/src/state/statechange.ts
@@ -1,5 +1,5 @@
-import { Intent } from '@pumicebarrow/forms';
-import { DocPart } from '@pumicebarrow/purge';
+import { Configuration } from '@pumicebarrow/forms';
+import { DocDelta } from '@pumicebarrow/purge';
 import { Type, type Static } from 'typebox';
 import { Burst } from '../lending/burst.js';
 import { CoreState } from './corestate.js';
@@ -19,8 +19,8 @@
     charter: Type.Optional(
       Type.Union([
         Type.Null(),
-        Type.Object({ version: Type.Integer({ minimum: 1 }), plan: Type.String(), body: Intent }, strict),
-        Type.Object({ version: Type.Integer({ minimum: 1 }), plan: Type.String(), part: DocPart }, strict),
+        Type.Object({ version: Type.Integer({ minimum: 1 }), plan: Type.String(), body: Configuration }, strict),
+        Type.Object({ version: Type.Integer({ minimum: 1 }), plan: Type.String(), part: DocDelta }, strict),
       ]),
     ),
     forgotten: Type.Array(Type.String(), { description: 'plans of the base that were dropped or have moved' }),
--- a/packages/registry/src/state/statechanges.test.ts
+++ b/packages/registry/src/state/statechanges.test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'chai';
 import fc from 'fast-check';
 import type { Command } from '../chain/command.js';
-import { Apply } from './apply.js';
+import { CoreStateMachine } from './corestatemachine.js';
 import type { CoreState } from './corestate.js';
 import { StateChanges } from './statechanges.js';
 import { StateDigest } from './statedigest.js';
@@ -20,7 +20,7 @@
   };
 };
 const apply = (state: CoreState, command: Command): CoreState => {
-  const next = Apply.one(state, command).state;
+  const next = CoreStateMachine.apply(state, command).state;
   return next === state ? state : { ...next, seq: state.seq + 1 };
 };
 const replaceRouting = (state: CoreState, revision: number, count: number): CoreState => {
@@ -29,7 +29,7 @@
 };
 /** The initial state and each version after one of `changes` replacements. */
 const history = (changes: number, routes: number): CoreState[] => {
-  const all = [Apply.empty];
+  const all = [CoreStateMachine.emptyState];
   for (let i = 1; i <= changes; i++) all.push(replaceRouting(all.at(-1)!, i, routes));
   return all;
 };
@@ -57,7 +57,7 @@
   it('turns any earlier version into any later one exactly', () => {
     fc.assert(
       fc.property(fc.array(commandArbitrary, { maxLength: 30 }), fc.nat(), fc.nat(), (steps, a, b) => {
-        const all = steps.reduce((list, c) => [...list, apply(list.at(-1)!, c)], [Apply.empty]);
+        const all = steps.reduce((list, c) => [...list, apply(list.at(-1)!, c)], [CoreStateMachine.emptyState]);
         const [x, y] = [a % all.length, b % all.length];
         const from = all[Math.min(x, y)]!;
         const to = all[Math.max(x, y)]!;
@@ -73,12 +73,12 @@
   });
   it('applies only to its base version, not to another with the same sequence number', () => {
     const [, one] = history(1, 2) as [CoreState, CoreState];
-    const other = apply(Apply.empty, { do: 'replace', id: 'other', base: 0, intent: routing(7, 2) });
+    const other = apply(CoreStateMachine.emptyState, { do: 'replace', id: 'other', base: 0, intent: routing(7, 2) });
     const next = replaceRouting(one, 2, 2);
     expect(other.seq).to.equal(one.seq);
     const change = StateChanges.make().between(one, next);
     expect(StateChanges.make().apply(other, change)).to.equal(null);
-    expect(StateChanges.make().apply(Apply.empty, change)).to.equal(null);
+    expect(StateChanges.make().apply(CoreStateMachine.emptyState, change)).to.equal(null);
     expect(StateChanges.make().apply(one, change)).to.deep.equal(next);
   });
   it('rejects a change whose outcome does not have the stated digest', () => {
--- a/packages/registry/src/state/statechanges.ts
+++ b/packages/registry/src/state/statechanges.ts
@@ -1,5 +1,5 @@
-import { Check, type Doc } from '@pumicebarrow/forms';
-import { DocParts } from '@pumicebarrow/purge';
+import { SchemaCheck, type Doc } from '@pumicebarrow/forms';
+import { DocDeltas } from '@pumicebarrow/purge';
 import { CoreState } from './corestate.js';
 import type { Plan } from './plan.js';
 import type { StateChange } from './statechange.js';
@@ -36,7 +36,7 @@
  */
 export const StateChanges = {
   make() {
-    const parts = DocParts.make(MIN_PARTIAL_CHARS);
+    const parts = DocDeltas.make(MIN_PARTIAL_CHARS);
     const docs = new WeakMap<VersionedConfiguration, Doc>();
     const docOf = (configuration: VersionedConfiguration): Doc => {
       const cached = docs.get(configuration);
@@ -49,8 +49,8 @@
       from: VersionedConfiguration | null,
       to: VersionedConfiguration,
     ): NonNullable<StateChange['charter']> => {
-      const heldParts = from ? parts.held(docOf(from)) : null;
-      const part = heldParts === null ? null : parts.part(docOf(to), heldParts);
+      const heldParts = from ? parts.chunkDigests(docOf(from)) : null;
+      const part = heldParts === null ? null : parts.diff(docOf(to), heldParts);
       return part ? { version: to.version, plan: to.plan, part } : to;
     };
     const applyConfigurationChange = (
@@ -58,7 +58,7 @@
       change: NonNullable<StateChange['charter']>,
     ): VersionedConfiguration | null => {
       if ('body' in change) return change;
-      const patched = from ? parts.lay(docOf(from), change.part) : null;
+      const patched = from ? parts.apply(docOf(from), change.part) : null;
       if (!patched) return null;
       const created = {
         version: change.version,
@@ -101,7 +101,9 @@
           claims: { ...from.claims, ...change.claims },
           ...(bursts ? { bursts } : {}),
         };
-        return StateDigest.of(result) === change.result.digest && Check.is(CoreState, result) ? result : null;
+        return StateDigest.of(result) === change.result.digest && SchemaCheck.matches(CoreState, result)
+          ? result
+          : null;
       },
     };
   },
--- a/packages/registry/src/state/statedigest.ts
+++ b/packages/registry/src/state/statedigest.ts
@@ -6,7 +6,7 @@
 const bodyDigest = (body: object): string => {
   const cached = bodyDigests.get(body);
   if (cached !== undefined) return cached;
-  const digest = Hash.of(body);
+  const digest = Hash.ofValue(body);
   bodyDigests.set(body, digest);
   return digest;
 };
@@ -23,7 +23,7 @@
     const configurationFields = configuration
       ? [configuration.version, configuration.plan, bodyDigest(configuration.body)]
       : null;
-    const digest = Hash.of([seq, configurationFields, plans, claims, bursts ?? null]);
+    const digest = Hash.ofValue([seq, configurationFields, plans, claims, bursts ?? null]);
     stateDigests.set(state, digest);
     return digest;
   },
--- a/packages/registryd/src/index.ts
+++ b/packages/registryd/src/index.ts
@@ -1,3 +1,3 @@
-export { CoreHttpServer } from './corefront.js';
+export { CoreHttpServer } from './corehttpserver.js';
 export { Main } from './main.js';
 export { Settings } from './settings.js';
--- a/packages/registryd/src/main.ts
+++ b/packages/registryd/src/main.ts
@@ -1,7 +1,7 @@
-import { FileDisk, Machine, Meters, Program, SettingsReader } from '@pumicebarrow/forms';
-import { Tuned } from '@pumicebarrow/purge';
-import { CoreMeter, Registrar } from '@pumicebarrow/registry';
-import { CoreHttpServer } from './corefront.js';
+import { FileDisk, ProductionWorld, MetricsRegistry, Program, SettingsReader } from '@pumicebarrow/forms';
+import { GossipDefaults } from '@pumicebarrow/purge';
+import { CoreMeter, RegistryNode } from '@pumicebarrow/registry';
+import { CoreHttpServer } from './corehttpserver.js';
 import { Settings } from './settings.js';
 
 /** Command-line options. */
@@ -23,44 +23,44 @@
 /** Entry point of registryd: runs a core daemon with the real clock, network and disk. */
 export const Main = {
   async run(argv: readonly string[]): Promise<void> {
-    const settings = await Program.settings('registryd', 'a core daemon of pumicebarrow', OPTIONS, Settings, argv);
-    const dataFolder = await SettingsReader.folder(settings.data);
-    if (dataFolder.err) Program.wrong('registryd', dataFolder.val);
+    const settings = await Program.readSettings('registryd', 'a core daemon of pumicebarrow', OPTIONS, Settings, argv);
+    const dataFolder = await SettingsReader.ensureFolder(settings.data);
+    if (dataFolder.err) Program.exitInvalid('registryd', dataFolder.val);
     try {
-      const world = await Machine.make(
+      const world = await ProductionWorld.make(
         settings.id,
         settings.hear ?? settings.addr,
         settings.level ?? 'info',
         await FileDisk.make(settings.data),
       );
-      const metrics = Meters.make();
-      const created = await Registrar.make(CoreMeter.listen(world, metrics), {
+      const metrics = MetricsRegistry.make();
+      const created = await RegistryNode.make(CoreMeter.countEvents(world, metrics), {
         id: settings.id,
         addr: settings.addr,
         site: settings.site,
         seeds: settings.seeds,
         ...(settings.losses === undefined ? {} : { losses: settings.losses }),
         ...(settings.first === undefined ? {} : { first: settings.first }),
-        tunes: { ...Tuned, ...settings.purge },
+        tunes: { ...GossipDefaults, ...settings.purge },
       });
       if (created.err) throw new Error(created.val);
       const node = created.val;
-      CoreMeter.levels(metrics, node);
+      CoreMeter.registerGauges(metrics, node);
       const httpServer = settings.http
         ? await CoreHttpServer.make(settings.http, metrics, () => ({
-            life: node.core.life(),
-            speaks: node.core.live(),
+            life: node.core.lifecycleState(),
+            speaks: node.core.holdsLease(),
           }))
         : null;
       node.start();
-      Program.until(async () => {
+      Program.onTermination(async () => {
         await node.leave();
         node.stop();
         await httpServer?.close();
         await world.wire.close();
       });
     } catch (e) {
-      Program.failed('registryd', e);
+      Program.exitFailed('registryd', e);
     }
   },
 };
--- a/packages/registryd/src/settings.ts
+++ b/packages/registryd/src/settings.ts
@@ -1,5 +1,5 @@
 import { Addr, Zone } from '@pumicebarrow/forms';
-import { Tunes } from '@pumicebarrow/purge';
+import { GossipSettings } from '@pumicebarrow/purge';
 import { Type, type Static } from 'typebox';
 
 /** Settings of registryd. */
@@ -27,7 +27,7 @@
     /** Log level. */
     level: Type.Optional(Type.Union([Type.Literal('debug'), Type.Literal('info'), Type.Literal('warn')])),
     /** Gossip settings that differ from the defaults. */
-    purge: Type.Optional(Type.Partial(Tunes)),
+    purge: Type.Optional(Type.Partial(GossipSettings)),
   },
   { additionalProperties: false },
 );
--- a/packages/router/src/replicahandler.test.ts
+++ b/packages/router/src/checkinhandler.test.ts
@@ -1,32 +1,39 @@
-import { Dice, Hash, Lot, type Ident } from '@pumicebarrow/forms';
+import { Random, Hash, RendezvousHash, type Ident } from '@pumicebarrow/forms';
 import { expect } from 'chai';
-import { ReplicaHandler } from './replicahandler.js';
-import { daemon, testTown } from './post.test.js';
-import { testClock } from './stand.test.js';
-import { Words } from './words.js';
+import { CheckinHandler } from './checkinhandler.js';
+import { testIdent, testNetwork } from './testnetwork.test.js';
+import { testClock } from './fixtures.test.js';
+import { RouterMessages } from './routermessages.js';
 
 const FEW = 6;
 
 describe('router check-ins at the head', () => {
   const make = () => {
     const time = testClock(),
-      network = testTown();
+      network = testNetwork();
     const calls = { clock: 0 };
     const mono = (): number => {
       calls.clock++;
       return time.clock.mono();
     };
-    ReplicaHandler.make({
-      ...{ clock: { ...time.clock, mono }, post: network.post(daemon('k1', 'registry')), view: () => null },
-      ...{ speaks: () => true, version: () => 1, list: () => null },
+    CheckinHandler.make({
+      ...{ clock: { ...time.clock, mono }, post: network.post(testIdent('k1', 'registry')), view: () => null },
+      ...{ isActingHead: () => true, configurationVersion: () => 1, publishedList: () => null },
     });
     const load = { read: 1, beside: 0, run: 1 };
     const posts = new Map<string, ReturnType<typeof network.post>>();
     const checkin = async (id: string, heldDigest = '') => {
-      const post = posts.get(id) ?? network.post(daemon(id));
+      const post = posts.get(id) ?? network.post(testIdent(id));
       posts.set(id, post);
       const body = { version: 1, list: null, epoch: 1, peers: heldDigest, load };
-      const r = await post.ask(daemon('k1', 'registry').addr, 'k1', 'keeper.checkin', body, Words.checked, 500);
+      const r = await post.ask(
+        testIdent('k1', 'registry').addr,
+        'k1',
+        'keeper.checkin',
+        body,
+        RouterMessages.checkinReply,
+        500,
+      );
       if (r.err) throw new Error(r.val);
       const peers = r.val.peers?.map((p: Ident) => p.id);
       return { peers: peers ?? [], peersSent: peers !== undefined, routers: r.val.routers };
@@ -36,26 +43,26 @@
   const routerIds = (from: number, to: number): string[] => Array.from({ length: to - from }, (_, i) => `r${from + i}`);
   const expectedPeers = (id: string, all: readonly string[]): string[] => {
     const others = all.filter((x) => x !== id);
-    return (others.length <= 16 ? others : Lot.rank(id, others, (x) => x).slice(0, FEW)).sort();
+    return (others.length <= 16 ? others : RendezvousHash.rank(id, others, (x) => x).slice(0, FEW)).sort();
   };
   it('neither rank nor expire all routers at each check-in once the routers are known', async () => {
     const { count, checkin } = make();
     const all = routerIds(0, 400);
     for (const id of [...all, ...all]) await checkin(id);
-    const originalHash = Hash.num;
+    const originalHash = Hash.uint32;
     let ranked = 0;
-    Hash.num = (s) => {
+    Hash.uint32 = (s) => {
       ranked++;
       return originalHash(s);
     };
     count.clock = 0;
     for (const id of all) await checkin(id);
-    Hash.num = originalHash;
+    Hash.uint32 = originalHash;
     expect([ranked, count.clock / all.length < 8]).to.deep.equal([0, true]);
   });
   it('return the same peers as a ranking of all live routers, whichever join and leave', async () => {
     const { time, checkin } = make();
-    const random = Dice.seeded(5);
+    const random = Random.seeded(5);
     let live = routerIds(0, 14),
       next = 14;
     for (let round = 0; round < 40; round++) {
@@ -64,11 +71,11 @@
         const got = await checkin(id);
         expect([got.peers, got.routers]).to.deep.equal([expectedPeers(id, live), live.length]);
       }
-      const gone = round % 3 === 0 ? Dice.some(random, live, Dice.int(random, 4)) : [];
+      const gone = round % 3 === 0 ? Random.sample(random, live, Random.int(random, 4)) : [];
       live = live.filter((id) => !gone.includes(id));
-      await time.pass(1100);
+      await time.advance(1100);
       for (const id of live) await checkin(id);
-      await time.pass(1100);
+      await time.advance(1100);
       if (round % 2 === 0)
         live = [...live, ...routerIds(next, (next += 2)), ...(round % 5 === 0 ? gone.slice(0, 1) : [])];
     }
@@ -77,10 +84,10 @@
   it('rank a bounded number of routers at a time and leave a router its peers until all are ranked', async () => {
     const { time, checkin } = make();
     const all = routerIds(0, 900),
-      none = Hash.of([]);
-    const originalHash = Hash.num;
+      none = Hash.ofValue([]);
+    const originalHash = Hash.uint32;
     let ranked = 0;
-    Hash.num = (s) => {
+    Hash.uint32 = (s) => {
       ranked++;
       return originalHash(s);
     };
@@ -96,9 +103,9 @@
         peersSent = (await checkin(last, 'those of another head')).peersSent;
         expect((await checkin(last, none)).peers).to.have.length(FEW);
       }
-      await time.pass(450);
+      await time.advance(450);
     }
-    Hash.num = originalHash;
+    Hash.uint32 = originalHash;
     expect(peersSent).to.equal(false);
     // Limits: 250 per ms, bursts of 200,000, at least eight for each check-in, and the six peers kept.
     expect(Math.max(...rankedPerRound)).to.be.below(200_000 + all.length * 32);
--- a/packages/router/src/replicahandler.ts
+++ b/packages/router/src/checkinhandler.ts
@@ -1,17 +1,17 @@
-import { Hash, type Clock, type Ident, type Mark, type PostBox } from '@pumicebarrow/forms';
+import { Hash, type Clock, type Ident, type VersionStamp, type Messenger } from '@pumicebarrow/forms';
 import type { View } from '@pumicebarrow/registry';
-import { Nearest } from './nearest.js';
-import { Words } from './words.js';
+import { PeerSelector } from './peerselector.js';
+import { RouterMessages } from './routermessages.js';
 
 type Dependencies = {
   clock: Clock;
-  post: PostBox;
+  post: Messenger;
   view: () => View | null;
   /** Whether this replica is the head and holds its lease. */
-  speaks: () => boolean;
-  version: () => number;
+  isActingHead: () => boolean;
+  configurationVersion: () => number;
   /** Version stamp and age of the server list that this replica published under the current view. */
-  list: () => { mark: Mark; age: number } | null;
+  publishedList: () => { mark: VersionStamp; age: number } | null;
 };
 /** The oldest entries are dropped beyond this many. */
 const MAX_ROUTERS = 20_000;
@@ -22,7 +22,7 @@
 /** Number of peers of a router in a larger fleet. */
 const PEER_COUNT = 6;
 /** Digest that a router sends while it has no peers. */
-const NO_PEERS_DIGEST = Hash.of([]);
+const NO_PEERS_DIGEST = Hash.ofValue([]);
 /** Prompt tokens to prefill at prefill servers (`read`) and at decode servers (`beside`), and runs. */
 type Load = { read: number; beside: number; run: number };
 type RouterEntry = { ident: Ident; load: Load; expiresAt: number };
@@ -32,13 +32,13 @@
  * without it and rebuilds it from their next check-ins. Invariant: entries are kept in the order of their expiry, since
  * all have the same lifetime.
  */
-export const ReplicaHandler = {
+export const CheckinHandler = {
   make(deps: Dependencies) {
     const entries = new Map<string, RouterEntry>();
-    const peerSelector = Nearest.make({ mono: deps.clock.mono, many: PEER_COUNT });
+    const peerSelector = PeerSelector.make({ mono: deps.clock.mono, peerCount: PEER_COUNT });
     const remove = (id: string): void => {
       entries.delete(id);
-      peerSelector.left(id);
+      peerSelector.remove(id);
     };
     const evictExpired = (): void => {
       const now = deps.clock.mono();
@@ -48,7 +48,7 @@
       }
     };
     const recordCheckin = (ident: Ident, load: Load): void => {
-      if (!entries.delete(ident.id)) peerSelector.joined(ident.id);
+      if (!entries.delete(ident.id)) peerSelector.add(ident.id);
       entries.set(ident.id, { ident, load, expiresAt: deps.clock.mono() + ROUTER_EXPIRY_MS });
     };
     const liveEntries = (): RouterEntry[] => {
@@ -63,22 +63,22 @@
     const peersIfChanged = (ident: Ident, heldDigest: string): Ident[] | null => {
       const isLargeFleet = entries.size - (entries.has(ident.id) ? 1 : 0) > ALL_PEERS_LIMIT;
       const { ids: peerIds, whole: complete } = isLargeFleet
-        ? peerSelector.of(ident.id)
+        ? peerSelector.peersOf(ident.id)
         : { ids: [...entries.keys()].filter((id) => id !== ident.id), whole: true };
       if (!complete && heldDigest !== NO_PEERS_DIGEST) return null;
       const peers = [...peerIds].sort().map((id) => entries.get(id)!.ident);
-      return Hash.of(peers) === heldDigest ? null : peers;
+      return Hash.ofValue(peers) === heldDigest ? null : peers;
     };
-    deps.post.on('keeper.checkin', Words.checkinRequest, (body, from) => {
-      const isActingHead = deps.speaks();
+    deps.post.on('keeper.checkin', RouterMessages.checkinRequest, (body, from) => {
+      const isActingHead = deps.isActingHead();
       const view = deps.view();
       evictExpired();
       if (isActingHead) recordCheckin(from, body.load);
-      const publishedList = isActingHead ? deps.list() : null;
+      const publishedList = isActingHead ? deps.publishedList() : null;
       return {
         ok: isActingHead,
         view: view && view.epoch > body.epoch ? view : null,
-        version: deps.version(),
+        version: deps.configurationVersion(),
         list: publishedList?.mark ?? null,
         age: publishedList?.age ?? 0,
         routers: entries.size,
--- a/packages/router/src/configurationcalls.ts
+++ b/packages/router/src/configurationapi.ts
@@ -19,14 +19,14 @@
        * the source text, so repeating the call returns the same verdict.
        */
       async replace(base: number, intent: Routing): Promise<Verdict> {
-        const id = Hash.of([base, intent.source]);
+        const id = Hash.ofValue([base, intent.source]);
         const { ruling } = await controlClient.write({ do: 'replace', id, base, intent }, WRITE_TIMEOUT_MS);
         return ruling.verdict;
       },
       /** Reads the current routing configuration from the tail; null if there is none. */
       async read(): Promise<Result<Routing | null, string>> {
         const current = await controlClient.read(undefined, READ_TIMEOUT_MS);
-        if (!current) return Err('The control replicas did not reply; the configuration could not be read.');
+        if (!current) return Err('The core does not reply; nothing was read.');
         const intent = current.charter?.body ?? null;
         return Ok(intent && 'routes' in intent ? intent : null);
       },
--- a/packages/router/src/certainty.ts
+++ b/packages/router/src/configurationfreshness.ts
@@ -5,33 +5,33 @@
 type Dependencies = {
   clock: Clock;
   /** Whether this daemon still needs the confirmation. */
-  wanted: () => boolean;
+  isNeeded: () => boolean;
   /** Asks for the newest configuration; true once the one held is known to be no older. */
-  ask: () => Promise<boolean>;
-  found: () => void;
+  queryNewest: () => Promise<boolean>;
+  onConfirmed: () => void;
 };
 
 /**
  * Tracks whether the configuration held is known to be at least as new as any that was in force when this daemon asked.
  * Invariant: at most one loop asks at a time, until it is confirmed or nobody needs to know.
  */
-export const Certainty = {
+export const ConfigurationFreshness = {
   make(deps: Dependencies) {
     let confirmed = false;
     let confirming = false;
     return {
-      is: (): boolean => confirmed,
+      isConfirmed: (): boolean => confirmed,
       /** Called after the process was suspended for a while, since the configuration may have changed meanwhile. */
-      lose(): void {
+      invalidate(): void {
         confirmed = false;
       },
-      async seek(): Promise<void> {
+      async confirm(): Promise<void> {
         if (confirming) return;
         confirming = true;
-        while (!confirmed && deps.wanted()) {
-          confirmed = await deps.ask();
-          if (confirmed) deps.found();
-          else await Timer.nap(deps.clock, RETRY_INTERVAL_MS);
+        while (!confirmed && deps.isNeeded()) {
+          confirmed = await deps.queryNewest();
+          if (confirmed) deps.onConfirmed();
+          else await Timer.sleep(deps.clock, RETRY_INTERVAL_MS);
         }
         confirming = false;
       },
--- a/packages/router/src/intentdesk.ts
+++ b/packages/router/src/configurationplanhandler.ts
@@ -1,58 +1,54 @@
 import {
-  Clauses,
+  ConfigurationValidator,
   Err,
   Verdict,
   Verdicts,
   type Fault,
-  type Intent,
-  type PostBox,
+  type Configuration,
+  type Messenger,
   type Result,
 } from '@pumicebarrow/forms';
-import { Diff, type ControlClient } from '@pumicebarrow/registry';
+import { ConfigurationDiff, type ControlClient } from '@pumicebarrow/registry';
 import { Type } from 'typebox';
 
 /** Parses an operator's text into a configuration. */
-type ParseConfiguration = (text: string) => Result<Intent, Fault[]>;
+type ParseConfiguration = (text: string) => Result<Configuration, Fault[]>;
 const strict = { additionalProperties: false } as const;
 const Change = Type.Object({ path: Type.String(), words: Type.String() }, strict);
 /** How long the tail of the chain may take to return the configuration. */
 const READ_TIMEOUT_MS = 2500;
-const FIRST_CONFIGURATION_TEXT = 'There is no configuration yet; everything in this one is new.';
+const FIRST_CONFIGURATION_TEXT = 'There is no configuration yet; all of this is new.';
 
 /**
  * Handles operators' requests to plan a configuration; the text has the same format as for a replacement in one step.
  * Invariants: only a configuration that was parsed completely and validated becomes a plan; a plan is only stored, and
  * takes effect when it is confirmed.
  */
-export const IntentDesk = {
-  forms: {
+export const ConfigurationPlanHandler = {
+  schemas: {
     request: Type.Object({ id: Type.String({ pattern: '^[\\w.:-]{1,60}$' }), text: Type.String() }, strict),
-    told: Type.Object({ verdict: Verdict, base: Type.Integer(), changes: Type.Array(Change) }, strict),
+    response: Type.Object({ verdict: Verdict, base: Type.Integer(), changes: Type.Array(Change) }, strict),
   },
-  make(post: PostBox, controlClient: ControlClient, parse: ParseConfiguration | null): void {
-    const parseAndValidate = (text: string): Result<Intent, Fault[]> => {
-      const parsed = parse ? parse(text) : Err([{ path: '', why: 'this replica has no configuration parser' }]);
-      const faults = parsed.ok ? Clauses.faults(parsed.val) : [];
+  make(post: Messenger, controlClient: ControlClient, parse: ParseConfiguration | null): void {
+    const parseAndValidate = (text: string): Result<Configuration, Fault[]> => {
+      const parsed = parse ? parse(text) : Err([{ path: '', why: 'can be read by no one here' }]);
+      const faults = parsed.ok ? ConfigurationValidator.faults(parsed.val) : [];
       return faults.length > 0 ? Err(faults) : parsed;
     };
-    post.on('intent.plan', IntentDesk.forms.request, async ({ id, text }) => {
+    post.on('intent.plan', ConfigurationPlanHandler.schemas.request, async ({ id, text }) => {
       const proposed = parseAndValidate(text);
-      if (proposed.err) return { verdict: Verdicts.bad(proposed.val), base: 0, changes: [] };
+      if (proposed.err) return { verdict: Verdicts.invalid(proposed.val), base: 0, changes: [] };
       const current = await controlClient.read(undefined, READ_TIMEOUT_MS);
       if (!current)
         return {
-          verdict: Verdicts.not(
-            'unready',
-            'The control replicas did not reply; the configuration could not be read.',
-            1,
-          ),
+          verdict: Verdicts.notRun('unready', 'The core does not reply; nothing was read.', 1),
           base: 0,
           changes: [],
         };
       const base = current.charter?.version ?? 0;
       const { ruling } = await controlClient.write({ do: 'plan', id, base, charter: proposed.val });
       const previous = current.charter?.body ?? null;
-      const changes = Diff.of(previous, proposed.val).map(({ path, words }) => ({
+      const changes = ConfigurationDiff.of(previous, proposed.val).map(({ path, words }) => ({
         path,
         words: previous ? words : FIRST_CONFIGURATION_TEXT,
       }));
--- a/packages/router/src/controlreplica.ts
+++ b/packages/router/src/controlreplica.ts
@@ -1,17 +1,17 @@
 import { Ok } from '@pumicebarrow/forms';
 import type { Fault, MetricFamily, Result, Routing, World } from '@pumicebarrow/forms';
-import { CoreMetrics, Registrar, Views } from '@pumicebarrow/registry';
-import { ConfigurationApi } from './configurationcalls.js';
-import { IntentDesk } from './intentdesk.js';
-import { ReplicaHandler } from './replicahandler.js';
-import type { Engine } from './engine.js';
-import { LoadTable } from './loadtable.js';
-import { ServerListPublisher } from './listduty.js';
-import type { ListSource } from './listsource.js';
-import type { RouterOptions } from './routerstartup.js';
-import { SharedSound } from './sharedsound.js';
-import { StageDuty } from './stageduty.js';
-import { StatusDesk } from './statusdesk.js';
+import { CoreMetrics, RegistryNode, Views } from '@pumicebarrow/registry';
+import { ConfigurationApi } from './configurationapi.js';
+import { ConfigurationPlanHandler } from './configurationplanhandler.js';
+import { CheckinHandler } from './checkinhandler.js';
+import type { ModelServerClient } from './modelserverclient.js';
+import { LoadAggregator } from './loadaggregator.js';
+import { ServerListPublisher } from './serverlistpublisher.js';
+import type { ServerListSource } from './serverlistsource.js';
+import type { RouterOptions } from './routeroptions.js';
+import { SharedDocumentCheck } from './shareddocumentcheck.js';
+import { StageBalancer } from './stagebalancer.js';
+import { StatusHandler } from './statushandler.js';
 
 /**
  * Options of a control replica only: how many machines may be lost at once, whether it may take part in forming the
@@ -19,7 +19,7 @@
  */
 type CoreOptions = { losses: number; first: boolean; lease: number } & {
   /** Parses an operator's configuration text; without it this replica rejects configuration plans. */
-  read?: (text: string) => Result<Routing, Fault[]>;
+  parseConfiguration?: (text: string) => Result<Routing, Fault[]>;
 };
 
 /**
@@ -30,15 +30,15 @@
   async make(
     world: World,
     options: Omit<RouterOptions, 'revocation'> & CoreOptions,
-    listSource: ListSource,
-    serverClient: Engine,
+    listSource: ServerListSource,
+    serverClient: ModelServerClient,
   ) {
-    const created = await Registrar.make(world, {
+    const created = await RegistryNode.make(world, {
       ...{ id: options.id, addr: options.addr, site: options.zone, seeds: options.seeds, tunes: options.tunes },
       ...{
         losses: options.losses,
         first: options.first,
-        sound: SharedSound.doc,
+        sound: SharedDocumentCheck.isValid,
         known: () => checkinHandler.routers(),
       },
     });
@@ -48,9 +48,9 @@
     const currentView = () => node.core.view();
     const isHead = (): boolean => {
       const view = currentView();
-      return view !== null && Views.same(Views.head(view), node.ident);
+      return view !== null && Views.sameMember(Views.head(view), node.ident);
     };
-    const isActingHead = (): boolean => isHead() && node.core.live();
+    const isActingHead = (): boolean => isHead() && node.core.holdsLease();
     /**
      * Fencing token of the head's duties: the epoch of the agreed view, or null unless this replica is the head and
      * holds its lease. At most one replica has a token at any time, and tokens only increase.
@@ -61,39 +61,39 @@
       fence,
       intervalMs: Math.max(400, options.drain / 4),
     });
-    const version = (): number => node.core.chain.passed()?.charter?.version ?? 0;
-    const checkinHandler = ReplicaHandler.make({
+    const version = (): number => node.core.chain.committed()?.charter?.version ?? 0;
+    const checkinHandler = CheckinHandler.make({
       clock,
       post: node.post,
       view: currentView,
-      speaks: isActingHead,
-      version,
-      list: listPublisher.current,
+      isActingHead,
+      configurationVersion: version,
+      publishedList: listPublisher.current,
     });
     /** Configured time in ms for which a server of the service is unavailable while it changes its stage. */
     const stageChangeMs = (service: string): number => {
-      const configuration = node.core.chain.passed()?.charter?.body;
+      const configuration = node.core.chain.committed()?.charter?.body;
       if (!configuration || !('services' in configuration)) return 0;
       return configuration.services.find((candidate) => candidate.name === service)?.engine?.change ?? 0;
     };
-    const stageBalancer = StageDuty.make({
+    const stageBalancer = StageBalancer.make({
       ...{
         clock,
         log: world.log('stages'),
         engine: serverClient,
-        purge: node.purge,
-        shelf: node.shelf,
+        gossip: node.purge,
+        store: node.recordStore,
         fence,
         self: node.ident.id,
       },
       ...{ servers: listPublisher.servers, load: checkinHandler.load, lease: options.lease, away: stageChangeMs },
     });
-    const loadAggregator = LoadTable.make(clock, node.post, node.shelf);
-    IntentDesk.make(node.post, node.line, options.read ?? null);
-    StatusDesk.make({
-      ...{ clock, post: node.post, store: node.shelf, self: () => node.ident, view: currentView, isActingHead },
-      state: node.core.life,
-      isConfirmed: () => node.core.live() && node.core.chain.passed() !== null,
+    const loadAggregator = LoadAggregator.make(clock, node.post, node.recordStore);
+    ConfigurationPlanHandler.make(node.post, node.controlClient, options.parseConfiguration ?? null);
+    StatusHandler.make({
+      ...{ clock, post: node.post, store: node.recordStore, self: () => node.ident, view: currentView, isActingHead },
+      state: node.core.lifecycleState,
+      isConfirmed: () => node.core.holdsLease() && node.core.chain.committed() !== null,
       list: () => {
         const published = listPublisher.current();
         return published ? { age: published.age, isFresh: published.age < options.drain } : null;
@@ -108,15 +108,15 @@
       ...{
         core: node.core,
         purge: node.purge,
-        shelf: node.shelf,
+        recordStore: node.recordStore,
         post: node.post,
-        line: node.line,
+        controlClient: node.controlClient,
         ident: node.ident,
-        desk: checkinHandler,
-        duty: listPublisher,
-        stages: stageBalancer,
+        checkinHandler,
+        listPublisher,
+        stageBalancer,
       },
-      ...ConfigurationApi.make(node.line),
+      ...ConfigurationApi.make(node.controlClient),
       metrics: (): MetricFamily[] => CoreMetrics.families(node),
       start(): void {
         node.start();
--- a/packages/router/src/daemonstatus.ts
+++ b/packages/router/src/daemonstatus.ts
@@ -1,4 +1,4 @@
-import { Ident, Mark } from '@pumicebarrow/forms';
+import { Ident, VersionStamp } from '@pumicebarrow/forms';
 import { View } from '@pumicebarrow/registry';
 import { Type, type Static } from 'typebox';
 import { Server } from './server.js';
@@ -27,7 +27,7 @@
     list: Type.Object(
       {
         /** Version stamp of the list. */
-        mark: Nullable(Mark),
+        mark: Nullable(VersionStamp),
         age: Nullable(Type.Number()),
         young: Type.Boolean({ description: 'whether it is recent enough to route requests by' }),
         servers: Type.Integer(),
@@ -44,7 +44,7 @@
     orders: Nullable(
       Type.Array(
         Type.Object(
-          { server: Type.String(), stage: Type.String(), done: Type.Boolean(), by: Type.String(), mark: Mark },
+          { server: Type.String(), stage: Type.String(), done: Type.Boolean(), by: Type.String(), mark: VersionStamp },
           strict,
         ),
       ),
--- a/packages/router/src/runner.ts
+++ b/packages/router/src/decoderunner.ts
@@ -1,11 +1,11 @@
 import type { Result } from '@pumicebarrow/forms';
-import { Blame } from './blame.js';
-import type { Heard } from './heard.js';
+import { FaultClassifier } from './faultclassifier.js';
+import type { RunObserver } from './runobserver.js';
 import type { Job } from './job.js';
-import { Rounds } from './rounds.js';
+import { PeriodicChecks } from './periodicchecks.js';
 import type { SendFault } from './sendfault.js';
 import type { Server } from './server.js';
-import type { ServeTools } from './servetools.js';
+import type { RequestHandlerDependencies } from './requesthandlerdependencies.js';
 import { Urgency } from './urgency.js';
 
 /** How often runs in progress are checked for silence. */
@@ -37,9 +37,9 @@
  * promise that it did not run is never passed on unless the server said so.
  */
 export const DecodeRunner = {
-  make(deps: ServeTools) {
+  make(deps: RequestHandlerDependencies) {
     const now = (): number => deps.world.clock.mono();
-    const checkPeriodically = Rounds.make(deps.world.clock, SILENCE_CHECK_INTERVAL_MS);
+    const checkPeriodically = PeriodicChecks.make(deps.world.clock, SILENCE_CHECK_INTERVAL_MS);
     /** Whether another server may run the request although this one may have run it. */
     const mayRunAgain = (job: Job): boolean =>
       (job.route.resumable && job.route.kind === 'stream') || (job.route.kind === 'idempotent' && !job.responseStarted);
@@ -49,70 +49,83 @@
       let suspicionReported = false;
       const stopWatching = checkPeriodically(() => {
         const silentMs = now() - lastActivityAt;
-        if (silentMs > SILENCE_LIMIT_MS && deps.health.silent(server.id) > SILENCE_LIMIT_MS && !suspicionReported) {
+        if (
+          silentMs > SILENCE_LIMIT_MS &&
+          deps.health.msSinceActivity(server.id) > SILENCE_LIMIT_MS &&
+          !suspicionReported
+        ) {
           suspicionReported = true;
           deps.suspect(server, `silent for ${Math.round(silentMs)} ms`);
         }
         const timeoutMs = job.eventsSent > 0 ? NEXT_EVENT_TIMEOUT_MS : FIRST_EVENT_TIMEOUT_MS;
         // A busy server may just be late with one request; an idle or entirely silent one has lost it.
         const requestLost =
-          deps.health.silent(server.id) > SILENCE_LIMIT_MS || deps.loads.at(server.id).runs < BUSY_RUNS;
-        if (mayRunAgain(job) && silentMs > timeoutMs && requestLost && job.arrivals < job.route.tries)
+          deps.health.msSinceActivity(server.id) > SILENCE_LIMIT_MS || deps.loads.loadAt(server.id).runs < BUSY_RUNS;
+        if (mayRunAgain(job) && silentMs > timeoutMs && requestLost && job.countedSends < job.route.tries)
           attempt.abort('late');
       });
       return {
         recordActivity(): void {
           lastActivityAt = now();
           suspicionReported = false;
-          deps.health.stir(server.id);
+          deps.health.recordActivity(server.id);
         },
         stop: stopWatching,
       };
     };
-    const responseHandler = (job: Job, server: Server, recordActivity: () => void, endRead: () => void): Heard => ({
-      stir: recordActivity,
-      head(status, headers) {
+    const responseHandler = (
+      job: Job,
+      server: Server,
+      recordActivity: () => void,
+      endRead: () => void,
+    ): RunObserver => ({
+      onActivity: recordActivity,
+      onHead(status, headers) {
         // A server error is a response, but a request that may run again is tried elsewhere before it is passed on.
-        if (status >= SERVER_ERROR_STATUS && mayRunAgain(job) && job.arrivals < job.route.tries) return false;
+        if (status >= SERVER_ERROR_STATUS && mayRunAgain(job) && job.countedSends < job.route.tries) return false;
         if (NOT_RUN_STATUSES.has(status) && !mayRunAgain(job)) return false;
         if (job.responseStarted) return status === job.status;
         job.responseStarted = true;
         job.status = status;
-        job.writer.head(status, headers);
+        job.writer.writeHead(status, headers);
         return true;
       },
-      event(id, bytes) {
+      onEvent(id, bytes) {
         endRead();
         if (id !== null) job.lastEventId = id;
-        if (job.eventsSent === 0) deps.log.note(job.request.id, 'first', { at: server.id });
+        if (job.eventsSent === 0) deps.requestLog.record(job.request.id, 'first', { at: server.id });
         job.eventsSent++;
-        return job.writer.bytes(bytes);
+        return job.writer.write(bytes);
       },
     });
     const send = async (job: Job, server: Server): Promise<Result<void, SendFault>> => {
       const prompt = job.request.prompt;
-      const tokensToRead = prompt && !job.handle ? deps.placement.fresh(server, prompt) : 0;
-      const endRun = deps.loads.run(server.id),
-        endRead = deps.loads.read(server.id, tokensToRead);
+      const tokensToRead = prompt && !job.handle ? deps.placement.tokensToRead(server, prompt) : 0;
+      const endRun = deps.loads.beginRun(server.id),
+        endRead = deps.loads.beginRead(server.id, tokensToRead);
       const attempt = new AbortController();
       const cancelAttempt = (): void => attempt.abort('gone');
-      job.left.signal.addEventListener('abort', cancelAttempt);
+      job.cancellation.signal.addEventListener('abort', cancelAttempt);
       const watcher = watchForSilence(job, server, attempt);
-      const concurrentRuns = deps.loads.at(server.id).runs;
+      const concurrentRuns = deps.loads.loadAt(server.id).runs;
       const eventsBefore = job.eventsSent;
       const startedAt = now();
       const handle = job.handle;
-      deps.log.note(job.request.id, 'run', {
+      deps.requestLog.record(job.request.id, 'run', {
         at: server.id,
         word: handle?.server.id ?? '',
         tokens: tokensToRead,
         ahead: concurrentRuns - 1,
       });
       job.handle = null;
-      const timeoutMs = Math.max(1, job.due - now());
+      const timeoutMs = Math.max(1, job.deadline - now());
       const options = {
         ms: timeoutMs,
-        urgency: Urgency.of({ aim: job.route.aim, rank: job.rank }, tokensToRead / deps.pace.now(), job.ahead),
+        urgency: Urgency.levelOf(
+          { aim: job.route.aim, rank: job.rank },
+          tokensToRead / deps.prefillRate.tokensPerMs(),
+          job.expedited,
+        ),
         signal: attempt.signal,
       };
       const result = await deps.engine.run(
@@ -127,16 +140,16 @@
       deps.counters.count('runs', result.ok ? 'ok' : result.val.code);
       const newEvents = job.eventsSent - eventsBefore;
       if (newEvents > MIN_EVENTS_FOR_SPEED)
-        deps.speed.note(
+        deps.slowdown.record(
           server.id,
           (now() - startedAt) / newEvents,
           IDLE_EVENT_GAP_MS + concurrentRuns * EVENT_GAP_PER_RUN_MS,
         );
       endRun();
       endRead();
-      job.left.signal.removeEventListener('abort', cancelAttempt);
+      job.cancellation.signal.removeEventListener('abort', cancelAttempt);
       // A send that never arrived did not fetch the KV cache, so another server still can.
-      if (result.err && Blame.neverArrived(result.val)) job.handle = handle;
+      if (result.err && FaultClassifier.neverArrived(result.val)) job.handle = handle;
       return result;
     };
     /**
@@ -144,8 +157,8 @@
      * the rejection is therefore counted against the server that holds it.
      */
     const handleRejection = (server: Server, fault: SendFault, handleOwner: Server | null): void => {
-      if (!handleOwner || fault.code !== 'refused') deps.turned(server);
-      else if (deps.health.lapse(handleOwner.id)) deps.suspect(handleOwner, 'its handles could not be fetched');
+      if (!handleOwner || fault.code !== 'refused') deps.noteRejection(server);
+      else if (deps.health.recordHandleLoss(handleOwner.id)) deps.suspect(handleOwner, 'its handles lapse');
     };
     const evaluateResult = (
       job: Job,
@@ -155,25 +168,28 @@
       result: Result<void, SendFault>,
     ): boolean => {
       if (result.ok) {
-        if (handleOwner) deps.health.fetched(handleOwner.id);
-        if (job.request.prompt) deps.kept.note(server.id, job.request.prompt);
-        job.fault = null;
+        if (handleOwner) deps.health.recordHandleFetched(handleOwner.id);
+        if (job.request.prompt) deps.prefixCache.record(server.id, job.request.prompt);
+        job.lastFault = null;
         if (job.status >= SERVER_ERROR_STATUS) deps.suspect(server, `answered ${job.status}`);
-        else deps.health.good(server.id, startedAt);
+        else deps.health.recordSuccess(server.id, startedAt);
         return true;
       }
       const fault = result.val;
-      job.fault = fault;
-      deps.log.note(job.request.id, 'failed', { at: server.id, word: fault.code, why: fault.why });
-      job.avoid.add(server.id);
-      if (fault.code === 'gone' && job.left.signal.aborted) {
+      job.lastFault = fault;
+      deps.requestLog.record(job.request.id, 'failed', { at: server.id, word: fault.code, why: fault.why });
+      job.excludedServers.add(server.id);
+      if (fault.code === 'gone' && job.cancellation.signal.aborted) {
         // The client may still be connected if the cause is that its key was revoked.
         job.mayHaveRun ||= fault.ran !== 'no';
         return true;
       }
-      if (Blame.neverArrived(fault)) job.arrivals--;
-      if (Blame.turned(fault)) handleRejection(server, fault, handleOwner);
-      if (fault.code === 'gone' || Blame.falls(fault, deps.health.silent(server.id), SILENCE_LIMIT_MS))
+      if (FaultClassifier.neverArrived(fault)) job.countedSends--;
+      if (FaultClassifier.rejectedByServer(fault)) handleRejection(server, fault, handleOwner);
+      if (
+        fault.code === 'gone' ||
+        FaultClassifier.countsAgainstServer(fault, deps.health.msSinceActivity(server.id), SILENCE_LIMIT_MS)
+      )
         deps.suspect(server, fault.why);
       if (fault.ran === 'no') return false;
       job.mayHaveRun = true;
@@ -181,13 +197,18 @@
     };
     /** Sends the request once; returns true when it is finished: complete, aborted, or out of options. */
     return async (job: Job): Promise<boolean> => {
-      const server = deps.placement.decode(job.service, job.request.prompt, job.handle?.server ?? null, job.avoid);
+      const server = deps.placement.chooseDecode(
+        job.service,
+        job.request.prompt,
+        job.handle?.server ?? null,
+        job.excludedServers,
+      );
       if (!server) return true;
-      if (job.arrivals > 0 && !deps.budgets.of(job.service.name).take()) return true;
-      job.arrivals++;
+      if (job.countedSends > 0 && !deps.retryBudgets.of(job.service.name).tryTake()) return true;
+      job.countedSends++;
       const startedAt = now();
       const handleOwner = job.handle?.server ?? null;
-      const endHealthTrial = deps.health.begin(server.id);
+      const endHealthTrial = deps.health.beginRequest(server.id);
       const finished = evaluateResult(job, server, startedAt, handleOwner, await send(job, server));
       endHealthTrial();
       return finished;
--- a/packages/router/src/deferral.ts
+++ b/packages/router/src/deferral.ts
@@ -16,12 +16,12 @@
 
 type DeferralInput = {
   /** Expected ms to the first event if the request is taken now, and if nothing else were queued. */
-  foreseen: number;
+  expectedMs: number;
   alone: number;
   /** Latency target for the first event, in ms. */
   aim: number;
   /** Time for which the client will still wait, in ms. */
-  left: number;
+  remainingMs: number;
   /** Whether this is the client's first attempt. */
   first: boolean;
 };
@@ -33,14 +33,14 @@
  * target.
  */
 export const Deferral = {
-  of(input: DeferralInput, random: number): number | null {
-    if (!input.first || input.foreseen <= input.aim || input.alone >= input.aim) return null;
+  retryDelayMs(input: DeferralInput, random: number): number | null {
+    if (!input.first || input.expectedMs <= input.aim || input.alone >= input.aim) return null;
     const delayMs = Math.max(
       MIN_DELAY_MS,
-      (input.foreseen - input.aim * REMAINING_AIM_FRACTION) * ESTIMATE_MARGIN_FACTOR + random * RETRY_SPREAD_MS,
+      (input.expectedMs - input.aim * REMAINING_AIM_FRACTION) * ESTIMATE_MARGIN_FACTOR + random * RETRY_SPREAD_MS,
     );
-    const maxDelayMs = input.left * HONORED_DELAY_FRACTION;
-    if (maxDelayMs < MIN_DELAY_MS || input.left - Math.min(delayMs, maxDelayMs) < input.aim * MIN_REMAINING_AIMS)
+    const maxDelayMs = input.remainingMs * HONORED_DELAY_FRACTION;
+    if (maxDelayMs < MIN_DELAY_MS || input.remainingMs - Math.min(delayMs, maxDelayMs) < input.aim * MIN_REMAINING_AIMS)
       return null;
     return Math.min(delayMs, maxDelayMs);
   },
--- a/packages/router/src/firsttries.ts
+++ b/packages/router/src/firstattempts.ts
@@ -15,11 +15,11 @@
  * time left than first attempts on that route. Invariant: the guess only affects ordering and deferral, never whether a
  * request may run.
  */
-export const FirstTries = {
+export const FirstAttempts = {
   make() {
     const rows = new Map<string, RouteWaits>();
     return {
-      is(route: Route, waitMs: number): boolean {
+      isFirst(route: Route, waitMs: number): boolean {
         if (rows.size >= MAX_ROUTES) rows.clear();
         const row = rows.get(route.name) ?? { longestWaitMs: 0, samples: 0 };
         rows.set(route.name, { longestWaitMs: Math.max(row.longestWaitMs, waitMs), samples: row.samples + 1 });
--- a/packages/router/src/stand.test.ts
+++ b/packages/router/src/fixtures.test.ts
@@ -1,9 +1,9 @@
-import { Dice, Err, Logs, Ok, type Clock, type Result, type Routing, type World } from '@pumicebarrow/forms';
-import type { AnswerSink } from './answersink.js';
-import type { Engine } from './engine.js';
+import { Random, Err, Logs, Ok, type Clock, type Result, type Routing, type World } from '@pumicebarrow/forms';
+import type { ResponseWriter } from './responsewriter.js';
+import type { ModelServerClient } from './modelserverclient.js';
 
 import type { Prompt } from './prompt.js';
-import type { Request } from './request.js';
+import type { ClientRequest } from './clientrequest.js';
 import type { SendFault } from './sendfault.js';
 import type { Server } from './server.js';
 
@@ -26,7 +26,7 @@
   return {
     clock,
     settle,
-    async pass(ms: number): Promise<void> {
+    async advance(ms: number): Promise<void> {
       const end = now + ms;
       await settle();
       for (;;) {
@@ -45,11 +45,11 @@
 /** World without network or disk. */
 export const testWorld = (clock: Clock, seed = 1): World => ({
   clock,
-  chance: Dice.seeded(seed),
-  wire: { ask: () => Promise.resolve(Err('unsent')), tell: () => undefined, hear: () => undefined },
+  random: Random.seeded(seed),
+  wire: { ask: () => Promise.resolve(Err('unsent')), tell: () => undefined, onMessage: () => undefined },
   disk: null,
-  log: Logs.quiet,
-  tell: () => undefined,
+  log: Logs.silent,
+  recordEvent: () => undefined,
 });
 
 /** A ready model server of service `llm`. */
@@ -89,9 +89,16 @@
 });
 
 /** A client request that waits for 8 s from `now`. */
-export const request = (now: number, more: Partial<Request> = {}): Request => ({
+export const request = (now: number, more: Partial<ClientRequest> = {}): ClientRequest => ({
   ...{ id: 'q1', method: 'POST', host: 'h.example', path: '/p/x', headers: [], body: new Uint8Array() },
-  ...{ due: now + 8000, wait: 8000, after: null, prompt: prompt(6000), key: null, tenant: null },
+  ...{
+    deadline: now + 8000,
+    clientTimeoutMs: 8000,
+    lastEventId: null,
+    prompt: prompt(6000),
+    keyDigest: null,
+    tenant: null,
+  },
   ...more,
 });
 
@@ -104,10 +111,14 @@
   | { run: 'ok' | SendFault['code']; ran?: SendFault['ran']; events?: number; hang?: boolean; status?: number };
 
 /** A request as it was passed to the scripted client. */
-export type SentRequest = { request: Request; urgency: number };
+export type SentRequest = { request: ClientRequest; urgency: number };
 
 /** Model server client that follows a script and records its calls. */
-export const testEngine = (script: ScriptedResult[], calls: string[], asked: SentRequest[] = []): Engine => {
+export const testModelServerClient = (
+  script: ScriptedResult[],
+  calls: string[],
+  asked: SentRequest[] = [],
+): ModelServerClient => {
   let handleCount = 0;
   const fault = (code: SendFault['code'], ran: SendFault['ran'] | undefined): Result<never, SendFault> =>
     Err({ code, ran: ran ?? (code === 'broken' || code === 'late' || code === 'gone' ? 'maybe' : 'no'), why: code });
@@ -129,10 +140,10 @@
       calls.push(`run ${s.id}${from ? ` from ${from.id}` : ''}${after !== null ? ` after ${after}` : ''}`);
       if (!scripted || !('run' in scripted)) return fault('broken', 'maybe');
       if (scripted.events) {
-        response.stir();
-        if (!response.head(scripted.status ?? 200, [['x-seal', s.id]])) return fault('gone', 'maybe');
+        response.onActivity();
+        if (!response.onHead(scripted.status ?? 200, [['x-seal', s.id]])) return fault('gone', 'maybe');
         const first = Number(after ?? 0);
-        for (let i = 1; i <= scripted.events; i++) response.event(String(first + i), Buffer.from(`${first + i};`));
+        for (let i = 1; i <= scripted.events; i++) response.onEvent(String(first + i), Buffer.from(`${first + i};`));
       }
       if (scripted.hang) {
         return new Promise((done) => {
@@ -143,13 +154,13 @@
       }
       return scripted.run === 'ok' ? Ok(undefined) : fault(scripted.run, scripted.ran);
     },
-    linked: () => false,
-    free(h) {
+    hasIdleConnection: () => false,
+    releaseHandle(h) {
       calls.push(`free ${h.id}`);
       return Promise.resolve();
     },
-    report: () => Promise.resolve(Err('none')),
-    order: () => Promise.resolve(Err('unsent' as const)),
+    fetchReport: () => Promise.resolve(Err('none')),
+    setStage: () => Promise.resolve(Err('unsent' as const)),
     close: () => Promise.resolve(),
   };
 };
@@ -159,21 +170,21 @@
   const log: string[] = [];
   let disconnect: () => void = () => undefined;
   let disconnected = false;
-  const writer: AnswerSink = {
-    head: (status, headers) => void log.push(`${status} ${headers.map(([, v]) => v).join()}`),
-    bytes: (b) => {
+  const writer: ResponseWriter = {
+    writeHead: (status, headers) => void log.push(`${status} ${headers.map(([, v]) => v).join()}`),
+    write: (b) => {
       log.push(Buffer.from(b).toString());
       return true;
     },
     end: () => void log.push('end'),
-    cut: () => void log.push('cut'),
-    gone: () => disconnected,
-    left: (fn) => {
+    abort: () => void log.push('cut'),
+    isClientGone: () => disconnected,
+    onClientGone: (fn) => {
       disconnect = fn;
     },
   };
   return {
-    writer: writer,
+    writer,
     log,
     disconnect(): void {
       disconnected = true;
--- a/packages/router/src/duties.test.ts
+++ b/packages/router/src/headduties.test.ts
@@ -1,21 +1,21 @@
-import { Err, Hash, Ok, type Doc, type Mark } from '@pumicebarrow/forms';
-import { Shelf, type Purging } from '@pumicebarrow/purge';
+import { Err, Hash, Ok, type Doc, type VersionStamp } from '@pumicebarrow/forms';
+import { InMemoryRecordStore, type GossipNode } from '@pumicebarrow/purge';
 import type { ControlClient, View } from '@pumicebarrow/registry';
 import { expect } from 'chai';
-import { HeadLine } from './headline.js';
-import { ReplicaHandler } from './replicahandler.js';
-import { ServerListPublisher } from './listduty.js';
-import { ListRows } from './listrows.js';
-import { daemon, testTown } from './post.test.js';
+import { HeadCheckin } from './headcheckin.js';
+import { CheckinHandler } from './checkinhandler.js';
+import { ServerListPublisher } from './serverlistpublisher.js';
+import { ServerListRows } from './serverlistrows.js';
+import { testIdent, testNetwork } from './testnetwork.test.js';
 import type { Server } from './server.js';
 import { ServerList } from './serverlist.js';
-import { SharedSound } from './sharedsound.js';
-import { server, testClock } from './stand.test.js';
+import { SharedDocumentCheck } from './shareddocumentcheck.js';
+import { server, testClock } from './fixtures.test.js';
 
 describe('publishing of the server list', () => {
   const make = () => {
     const time = testClock();
-    const recordStore = Shelf.make(SharedSound.doc);
+    const recordStore = InMemoryRecordStore.make(SharedDocumentCheck.isValid);
     const state = { fence: 3 as number | null, list: [server('a', 'decode')] as Server[] | null, polls: 0 };
     const source = {
       poll: async () => {
@@ -24,53 +24,53 @@
         return state.list ? Ok(state.list) : Err('rate');
       },
     };
-    const purge = { publish: (d: Doc) => recordStore.offer(d) } as unknown as Purging;
+    const purge = { publish: (d: Doc) => recordStore.offer(d) } as unknown as GossipNode;
     const publisher = ServerListPublisher.make({
       ...{ clock: time.clock, listSource: source, purge, intervalMs: 1000, fence: () => state.fence },
     });
-    return { time, shelf: recordStore, state, duty: publisher };
+    return { time, recordStore, state, duty: publisher };
   };
   it('publishes a list once and does not publish an unchanged list again', async () => {
-    const { time, shelf, duty } = make();
+    const { time, recordStore, duty } = make();
     await duty.tick();
-    expect(shelf.mark('list')).to.deep.equal([3, 0]);
-    await time.pass(1000);
+    expect(recordStore.stamp('list')).to.deep.equal([3, 0]);
+    await time.advance(1000);
     await duty.tick();
-    expect(shelf.mark('list')).to.deep.equal([3, 0]);
+    expect(recordStore.stamp('list')).to.deep.equal([3, 0]);
     expect(duty.current()).to.deep.equal({ mark: [3, 0], age: 0 });
   });
   it('publishes a change with a higher step, and publishes again under a new fencing token', async () => {
-    const { time, shelf, state, duty } = make();
+    const { time, recordStore, state, duty } = make();
     await duty.tick();
     state.list = [server('a', 'decode', { state: 'draining' })];
-    await time.pass(1000);
+    await time.advance(1000);
     await duty.tick();
-    expect(shelf.mark('list')).to.deep.equal([3, 1]);
+    expect(recordStore.stamp('list')).to.deep.equal([3, 1]);
     state.fence = 5;
-    await time.pass(1000);
+    await time.advance(1000);
     await duty.tick();
-    expect(shelf.mark('list')).to.deep.equal([5, 0]);
+    expect(recordStore.stamp('list')).to.deep.equal([5, 0]);
   });
   it('neither polls the platform nor reports a list without the fencing token', async () => {
     const { time, state, duty } = make();
     await duty.tick();
     state.fence = null;
-    await time.pass(1000);
+    await time.advance(1000);
     await duty.tick();
     expect([state.polls, duty.current()]).to.deep.equal([1, null]);
   });
   it('does not publish a poll result that arrives after the fencing token was lost', async () => {
-    const { shelf, state, duty } = make();
+    const { recordStore, state, duty } = make();
     const asked = duty.tick();
     state.fence = null;
     await asked;
-    expect(shelf.mark('list')).to.equal(null);
+    expect(recordStore.stamp('list')).to.equal(null);
   });
   it('reports a growing list age while the platform rejects its polls', async () => {
     const { time, state, duty } = make();
     await duty.tick();
     state.list = null;
-    await time.pass(1000);
+    await time.advance(1000);
     await duty.tick();
     expect(duty.current()?.age).to.equal(1000);
   });
@@ -80,118 +80,126 @@
   const view: View = { epoch: 7, voters: [], chain: [{ id: 'k1', born: 'b-k1', addr: '10.0.1.1:2' }] };
   const make = () => {
     const time = testClock(),
-      network = testTown();
+      network = testNetwork();
     const state = {
       speaks: true,
-      list: { mark: [7, 0] as Mark, age: 200 } as { mark: Mark; age: number } | null,
+      list: { mark: [7, 0] as VersionStamp, age: 200 } as { mark: VersionStamp; age: number } | null,
       version: 1,
       held: 1,
       tails: 0,
     };
-    const head = network.post(daemon('k1', 'registry'));
-    const checkinHandler = ReplicaHandler.make({
-      ...{ clock: time.clock, post: head, view: () => view, speaks: () => state.speaks },
-      ...{ version: () => state.version, list: () => state.list },
+    const head = network.post(testIdent('k1', 'registry'));
+    const checkinHandler = CheckinHandler.make({
+      ...{ clock: time.clock, post: head, view: () => view, isActingHead: () => state.speaks },
+      ...{ configurationVersion: () => state.version, publishedList: () => state.list },
     });
     const router = (id: string) => {
-      const post = network.post(daemon(id));
-      const recordStore = Shelf.make(SharedSound.doc);
+      const post = network.post(testIdent(id));
+      const recordStore = InMemoryRecordStore.make(SharedDocumentCheck.isValid);
       const list = ServerList.make(
         time.clock,
         () => 2000,
         () => undefined,
       );
-      const purge = { learn: (d: Doc) => recordStore.offer(d) } as unknown as Purging;
+      const purge = { learn: (d: Doc) => recordStore.offer(d) } as unknown as GossipNode;
       const line = {
         view: () => view,
         learn: () => undefined,
         look: () => Promise.resolve(),
       } as unknown as ControlClient;
-      const headCheckin = HeadLine.make({
-        ...{ clock: time.clock, post, line, shelf: recordStore, purge, list, version: () => state.held },
+      const headCheckin = HeadCheckin.make({
+        ...{
+          clock: time.clock,
+          post,
+          controlClient: line,
+          store: recordStore,
+          gossip: purge,
+          list,
+          version: () => state.held,
+        },
         load: () => ({ read: 10, beside: 0, run: 2 }),
-        tail: () => {
+        readTail: () => {
           state.tails++;
           return Promise.resolve(true);
         },
       });
-      return { shelf: recordStore, list, line: headCheckin };
+      return { recordStore, list, line: headCheckin };
     };
-    const doc: Doc = { name: 'list', mark: [7, 0], body: ListRows.pack([server('a', 'decode')]) };
+    const doc: Doc = { name: 'list', mark: [7, 0], body: ServerListRows.pack([server('a', 'decode')]) };
     return { time, network, state, desk: checkinHandler, router, doc };
   };
   it('takes the list age from the head, counted from before the check-in was sent', async () => {
     const { router, doc } = make();
     const r = router('r2');
-    r.shelf.offer(doc);
+    r.recordStore.offer(doc);
     await r.line.tick();
-    expect(r.list.age()).to.equal(200);
-    expect(r.list.good('a')?.id).to.equal('a');
+    expect(r.list.ageMs()).to.equal(200);
+    expect(r.list.readyServer('a')?.id).to.equal('a');
   });
   it('does not refresh the list age from a replica that is not the acting head', async () => {
     const { router, doc, state } = make();
     const r = router('r2');
-    r.shelf.offer(doc);
+    r.recordStore.offer(doc);
     state.speaks = false;
     await r.line.tick();
-    expect(r.list.young()).to.equal(false);
-    expect(r.line.silent()).to.equal(Infinity);
+    expect(r.list.isFresh()).to.equal(false);
+    expect(r.line.msSinceReply()).to.equal(Infinity);
   });
   it('fetches a newer list from the head only after gossip had time to deliver it', async () => {
     const { time, network, router, doc } = make();
     const r = router('r2');
-    network.post(daemon('k9', 'registry'));
+    network.post(testIdent('k9', 'registry'));
     await r.line.tick();
-    expect(r.list.young()).to.equal(false);
+    expect(r.list.isFresh()).to.equal(false);
     expect(network.asked.some((a) => a.includes('purge.pull'))).to.equal(false);
-    await time.pass(600);
+    await time.advance(600);
     await r.line.tick();
     expect(network.asked.some((a) => a.includes('purge.pull'))).to.equal(true);
-    r.shelf.offer(doc);
+    r.recordStore.offer(doc);
     await r.line.tick();
-    expect(r.list.young()).to.equal(true);
+    expect(r.list.isFresh()).to.equal(true);
   });
   it('reads a configuration from the tail if gossip has not delivered it in time', async () => {
     const { time, router, state, doc } = make();
     const r = router('r2');
-    r.shelf.offer(doc);
+    r.recordStore.offer(doc);
     state.version = 2;
     await r.line.tick();
     expect(state.tails).to.equal(0);
-    await time.pass(600);
+    await time.advance(600);
     await r.line.tick();
     expect(state.tails).to.equal(1);
   });
   it('does not read from the tail while gossip delivers each of many versions in time', async () => {
     const { time, router, state, doc } = make();
     const r = router('r2');
-    r.shelf.offer(doc);
+    r.recordStore.offer(doc);
     for (let i = 0; i < 6; i++) {
       state.version += 3;
       await r.line.tick();
       // Gossip delivers the version that was the newest then; by the next check-in there is a newer one.
       state.held = state.version;
-      await time.pass(600);
+      await time.advance(600);
     }
     expect(state.tails).to.equal(0);
     state.version += 3;
     await r.line.tick();
     state.version += 3;
-    await time.pass(600);
+    await time.advance(600);
     await r.line.tick();
     expect(state.tails).to.equal(1);
   });
   it('counts the routers and sends a router its peers again only after they changed', async () => {
     const { time, network, router, desk, doc } = make();
     const all = ['r2', 'r3', 'r4'].map(router);
-    for (const r of all) r.shelf.offer(doc);
+    for (const r of all) r.recordStore.offer(doc);
     for (let i = 0; i < 2; i++) for (const r of all) await r.line.tick();
-    expect(all.map((r) => r.line.routers())).to.deep.equal([3, 3, 3]);
+    expect(all.map((r) => r.line.routerCount())).to.deep.equal([3, 3, 3]);
     expect(all[0]!.line.peers().map((p) => p.id)).to.deep.equal(['r3', 'r4']);
     expect(desk.load()).to.deep.equal({ read: 30, beside: 0, run: 6 });
     network.down.add('10.0.1.1:2');
-    await time.pass(2100);
+    await time.advance(2100);
     expect(desk.load()).to.deep.equal({ read: 0, beside: 0, run: 0 });
-    expect(Hash.of(all[0]!.line.peers())).to.be.a('string');
+    expect(Hash.ofValue(all[0]!.line.peers())).to.be.a('string');
   });
 });
--- a/packages/router/src/restlimit.test.ts
+++ b/packages/router/src/idleconnectionlimit.test.ts
@@ -1,13 +1,16 @@
 import { expect } from 'chai';
-import { RestLimit } from './restlimit.js';
+import { IdleConnectionLimit } from './idleconnectionlimit.js';
 
-const at = (): { time: { now: number }; limit: ReturnType<typeof RestLimit.make> } => {
+const at = (): { time: { now: number }; limit: ReturnType<typeof IdleConnectionLimit.make> } => {
   const time = { now: 1000 };
-  return { time, limit: RestLimit.make({ mono: () => time.now, wall: () => 0, after: () => () => undefined }) };
+  return {
+    time,
+    limit: IdleConnectionLimit.make({ mono: () => time.now, wall: () => 0, after: () => () => undefined }),
+  };
 };
 
 describe('idle connection limit', () => {
-  it('is infinite while no connection was dropped', () => expect(at().limit.most()).to.equal(Infinity));
+  it('is infinite while no connection was dropped', () => expect(at().limit.maxIdleMs()).to.equal(Infinity));
   for (const [name, rested, took, want] of [
     ['an idle time is too long if the connection closed right after the send', 2000, 3, 300],
     ['a connection cut while the server was working sets no limit', 2000, 400, Infinity],
@@ -16,20 +19,20 @@
   ] as const)
     it(name, () => {
       const { limit } = at();
-      expect(limit.ended(rested, took)).to.equal(want !== Infinity);
-      expect(limit.most()).to.equal(want);
+      expect(limit.recordClose(rested, took)).to.equal(want !== Infinity);
+      expect(limit.maxIdleMs()).to.equal(want);
     });
   it('only decreases while the observation counts, and is lifted afterwards', () => {
     const { time, limit } = at();
-    limit.ended(1000, 1);
+    limit.recordClose(1000, 1);
     time.now += 9000;
-    limit.ended(4000, 1);
-    expect(limit.most()).to.equal(150);
+    limit.recordClose(4000, 1);
+    expect(limit.maxIdleMs()).to.equal(150);
     time.now += 9999;
-    expect(limit.most()).to.equal(150);
+    expect(limit.maxIdleMs()).to.equal(150);
     time.now += 1;
-    expect(limit.most()).to.equal(Infinity);
-    limit.ended(4000, 1);
-    expect(limit.most()).to.equal(600);
+    expect(limit.maxIdleMs()).to.equal(Infinity);
+    limit.recordClose(4000, 1);
+    expect(limit.maxIdleMs()).to.equal(600);
   });
 });
--- a/packages/router/src/restlimit.ts
+++ b/packages/router/src/idleconnectionlimit.ts
@@ -19,19 +19,19 @@
  * notice, which shows only when something is sent; that request may have been executed, so it is lost. Invariant: an
  * idle time that was once too long is not allowed again, at any server, until the observation has expired.
  */
-export const RestLimit = {
+export const IdleConnectionLimit = {
   make(clock: Clock) {
     let limitMs = Infinity;
     let expiresAt = -Infinity;
     const now = (): number => clock.mono();
     return {
       /** Longest idle time in ms; Infinity if no idle time was too long recently. */
-      most: (): number => (now() < expiresAt ? limitMs : Infinity),
+      maxIdleMs: (): number => (now() < expiresAt ? limitMs : Infinity),
       /**
        * Records that a connection idle for `idleMs` was closed without a response, `elapsedMs` after a send. True if
        * the server had most likely dropped the connection.
        */
-      ended(idleMs: number, elapsedMs: number): boolean {
+      recordClose(idleMs: number, elapsedMs: number): boolean {
         if (idleMs < MIN_IDLE_MS || elapsedMs > IMMEDIATE_CLOSE_MS) return false;
         limitMs = Math.max(
           MIN_LIMIT_MS,
--- a/packages/router/src/job.ts
+++ b/packages/router/src/job.ts
@@ -1,9 +1,9 @@
 import type { Route, Service } from '@pumicebarrow/forms';
-import type { AnswerSink } from './answersink.js';
-import type { Handle } from './handle.js';
-import type { Request } from './request.js';
+import type { ResponseWriter } from './responsewriter.js';
+import type { KvCacheHandle } from './kvcachehandle.js';
+import type { ClientRequest } from './clientrequest.js';
 import type { SendFault } from './sendfault.js';
-import type { Weighed } from './weighed.js';
+import type { PlacementEstimate } from './placementestimate.js';
 
 /**
  * State of one request while it is being served. Invariants: `countedSends` counts each send that may have reached a
@@ -12,27 +12,27 @@
  * sent and does not change.
  */
 export type Job = {
-  request: Request;
+  request: ClientRequest;
   route: Route;
   /** Priority rank of the tenant, or of the route if the tenant has none: 0 goes first. */
   rank: number;
   service: Service;
-  writer: AnswerSink;
+  writer: ResponseWriter;
   /** Monotonic time in ms by which the response must be complete. */
-  due: number;
+  deadline: number;
   /** Whether this is probably the client's first attempt. */
   isFirstTry: boolean;
   /** Whether servers schedule it ahead of others because it was probably deferred once. */
-  ahead: boolean;
+  expedited: boolean;
   /** Sends that count towards the tries and the retry budget; see above. */
-  arrivals: number;
+  countedSends: number;
   /** Prefills sent so far. */
-  reads: number;
+  prefillAttempts: number;
   /** Whether the retry budget could not cover a counted send; no further send follows then. */
-  unpaid: boolean;
+  budgetExhausted: boolean;
   /** Placement estimate made in the current turn of the event loop; null once it may be stale. */
-  weighed: Weighed | null;
-  handle: Handle | null;
+  placementEstimate: PlacementEstimate | null;
+  handle: KvCacheHandle | null;
   /** Id of the last event that the client has, here or from an earlier attempt. */
   lastEventId: string | null;
   responseStarted: boolean;
@@ -42,8 +42,8 @@
   /** Whether some server may have run the request. */
   mayHaveRun: boolean;
   /** Servers that failed this request; they are not tried again for it. */
-  avoid: Set<string>;
-  fault: SendFault | null;
+  excludedServers: Set<string>;
+  lastFault: SendFault | null;
   /** Aborted when the client disconnects (`gone`) or its key is revoked (`revoked`). */
-  left: AbortController;
+  cancellation: AbortController;
 };
--- a/packages/router/src/handle.ts
+++ b/packages/router/src/kvcachehandle.ts
@@ -4,4 +4,4 @@
  * Handle to the KV cache of a prefilled prompt, which `server` holds until it is fetched, released or expires. It
  * belongs to one request.
  */
-export type Handle = { server: Server; id: string; tokens: number };
+export type KvCacheHandle = { server: Server; id: string; tokens: number };
--- a/packages/router/src/loadtable.ts
+++ b/packages/router/src/loadaggregator.ts
@@ -1,7 +1,7 @@
-import { Order, Timer, type Clock, type PostBox } from '@pumicebarrow/forms';
-import type { Holding } from '@pumicebarrow/purge';
-import { ServerIndex } from './serverindex.js';
-import { Words } from './words.js';
+import { VersionOrder, Timer, type Clock, type Messenger } from '@pumicebarrow/forms';
+import type { RecordStore } from '@pumicebarrow/purge';
+import { ServerListIndex } from './serverlistindex.js';
+import { RouterMessages } from './routermessages.js';
 
 type Load = { runs: number; reads: number; tokens: number };
 type WireRow = [string, number, number, number];
@@ -17,9 +17,9 @@
  * by the next one; the sums always equal those of the rows held; all of it is soft state, which a replica that takes
  * over relearns within a second.
  */
-export const LoadTable = {
-  make(clock: Clock, post: PostBox, store: Holding) {
-    const listIndex = ServerIndex.make(store);
+export const LoadAggregator = {
+  make(clock: Clock, post: Messenger, store: RecordStore) {
+    const listIndex = ServerListIndex.make(store);
     const routers = new Map<string, RouterLoads>();
     const sums = new Map<string, Load>();
     const applyChange = (server: string, previous: Load, current: Load): void => {
@@ -45,7 +45,7 @@
       const oldest = clock.mono() - ROUTER_TIMEOUT_MS;
       for (const [id, router] of routers) if (router.receivedAt < oldest) forget(id, router);
     };
-    post.heed('loads.own', Words.ownLoads, ({ whole, rows }, from) => {
+    post.onTell('loads.own', RouterMessages.ownLoadUpdate, ({ whole, rows }, from) => {
       const router = routers.get(from.id) ?? { rows: new Map<string, Load>(), receivedAt: 0 };
       router.receivedAt = clock.mono();
       routers.set(from.id, router);
@@ -53,9 +53,9 @@
       if (whole) for (const server of [...router.rows.keys()]) if (!named.has(server)) setLoad(router, server, NO_LOAD);
       for (const [server, runs, reads, tokens] of rows) setLoad(router, server, { runs, reads, tokens });
     });
-    post.on('loads.ask', Words.askLoads, ({ list }) => {
+    post.on('loads.ask', RouterMessages.fleetLoadRequest, ({ list }) => {
       const held = listIndex.current();
-      const knownPlaces = held && list && Order.cmp(held.mark, list) === 0 ? held.places : null;
+      const knownPlaces = held && list && VersionOrder.compare(held.mark, list) === 0 ? held.places : null;
       const places: number[] = [];
       const rows: WireRow[] = [];
       for (const [server, sum] of sums) {
--- a/packages/router/src/loadbroker.ts
+++ b/packages/router/src/loadaggregatorclient.ts
@@ -1,19 +1,19 @@
-import { Lot, Timer, type Clock, type PostBox } from '@pumicebarrow/forms';
-import type { Holding } from '@pumicebarrow/purge';
+import { RendezvousHash, Timer, type Clock, type Messenger } from '@pumicebarrow/forms';
+import type { RecordStore } from '@pumicebarrow/purge';
 import type { View } from '@pumicebarrow/registry';
 import type { OutcomeCounters } from './outcomecounters.js';
-import { ServerIndex } from './serverindex.js';
+import { ServerListIndex } from './serverlistindex.js';
 import type { ServerLoads } from './serverloads.js';
-import { Words } from './words.js';
+import { RouterMessages } from './routermessages.js';
 
 type Dependencies = {
   clock: Clock;
-  post: PostBox;
+  post: Messenger;
   loads: ReturnType<typeof ServerLoads.make>;
   view: () => View | null;
-  shelf: Holding;
+  store: RecordStore;
   /** Whether the fleet is so large that a router receives load gossip from a part of the others only. */
-  large: () => boolean;
+  isLargeFleet: () => boolean;
   counters: Pick<ReturnType<typeof OutcomeCounters.make>, 'count'>;
 };
 /** Runs in progress, prompts waiting to be read, and their tokens. */
@@ -37,9 +37,9 @@
  * asks for the sums; a replica that does not reply in time costs one short wait and is then left alone for a while;
  * only the choice of servers depends on the reply.
  */
-export const LoadBroker = {
+export const LoadAggregatorClient = {
   make(deps: Dependencies) {
-    const listIndex = ServerIndex.make(deps.shelf);
+    const listIndex = ServerListIndex.make(deps.store);
     const changed = new Set<string>();
     let reportedTo = '';
     let fullReportAt = -Infinity;
@@ -49,10 +49,10 @@
     let stop: () => void = () => undefined;
     const chooseAggregator = () => {
       const view = deps.view();
-      return view && deps.large() ? Lot.first(RENDEZVOUS_KEY, view.chain, (m) => m.id) : undefined;
+      return view && deps.isLargeFleet() ? RendezvousHash.first(RENDEZVOUS_KEY, view.chain, (m) => m.id) : undefined;
     };
     const ownRow = (server: string): WireRow => {
-      const own = deps.loads.mine().get(server);
+      const own = deps.loads.ownLoads().get(server);
       return [server, own?.runs ?? 0, own?.reads ?? 0, Math.round((own?.tokens ?? 0) / TOKENS_PER_UNIT)];
     };
     const reportOwnLoads = (): void => {
@@ -64,7 +64,7 @@
       }
       const whole = aggregator.id !== reportedTo || deps.clock.mono() - fullReportAt > FULL_REPORT_INTERVAL_MS;
       if (!whole && changed.size === 0) return;
-      const servers = whole ? deps.loads.mine().keys() : changed;
+      const servers = whole ? deps.loads.ownLoads().keys() : changed;
       const rows = [...servers].map(ownRow);
       changed.clear();
       reportedTo = aggregator.id;
@@ -79,7 +79,7 @@
     });
     return {
       /** Whether server choices are currently based on the aggregator's replies. */
-      works: (): boolean => deps.clock.mono() - askedAt < BACKOFF_MS && deps.clock.mono() >= backoffUntil,
+      isActive: (): boolean => deps.clock.mono() - askedAt < BACKOFF_MS && deps.clock.mono() >= backoffUntil,
       /**
        * Fetches the loads of all routers, unless they were fetched at most `maxAgeMs` ago or the aggregator cannot be
        * asked now.
@@ -98,7 +98,7 @@
           aggregator.id,
           'loads.ask',
           question,
-          Words.allLoads,
+          RouterMessages.fleetLoadReply,
           REPLY_TIMEOUT_MS,
         );
         deps.counters.count('load_queries', reply.ok ? 'ok' : reply.val);
--- a/packages/router/src/loadnews.ts
+++ b/packages/router/src/loadgossip.ts
@@ -1,15 +1,15 @@
-import { Fading, Timer, type Clock, type Ident, type PostBox } from '@pumicebarrow/forms';
+import { ExpiringMap, Timer, type Clock, type Ident, type Messenger } from '@pumicebarrow/forms';
 import type { ServerLoads } from './serverloads.js';
-import { Words } from './words.js';
+import { RouterMessages } from './routermessages.js';
 
 type ServerLoad = { runs: number; reads: number; tokens: number };
 type Dependencies = {
   clock: Clock;
-  post: PostBox;
+  post: Messenger;
   loads: ReturnType<typeof ServerLoads.make>;
   /** Routers to which this daemon sends its loads: all others in a small fleet, a few in a large one. */
   peers: () => readonly Ident[];
-  routers: () => number | null;
+  routerCount: () => number | null;
 };
 const BASE_INTERVAL_MS = 40;
 const REPEAT_INTERVAL_MS = 600;
@@ -34,17 +34,17 @@
  * and only when something changed or REPEAT_INTERVAL_MS has passed; what was received counts for at most RETENTION_MS;
  * in a large fleet the part that was heard stands for all.
  */
-export const LoadNews = {
-  SEEN: FULL_MESH_MAX_ROUTERS,
+export const LoadGossip = {
+  FULL_MESH_MAX_ROUTERS,
   make(deps: Dependencies) {
-    const received = Fading.make<ReadonlyMap<string, ServerLoad>>(deps.clock.mono, MAX_PEERS_KEPT);
+    const received = ExpiringMap.make<ReadonlyMap<string, ServerLoad>>(deps.clock.mono, MAX_PEERS_KEPT);
     let lastSentText = '';
     let lastSentAt = -Infinity;
     let stop: () => void = () => undefined;
     const counts = { sent: 0, received: 0 };
     const estimateOtherLoads = (): ReadonlyMap<string, ServerLoad> => {
-      const reports = received.all();
-      const others = Math.max(0, (deps.routers() ?? reports.length + 1) - 1);
+      const reports = received.values();
+      const others = Math.max(0, (deps.routerCount() ?? reports.length + 1) - 1);
       // A small sample says little about the whole fleet. Scaling by the square root keeps one busy peer from making
       // the fleet look busy.
       const scale = reports.length > 0 ? Math.sqrt(Math.max(1, others / reports.length)) : 1;
@@ -60,17 +60,17 @@
         }
       return totals;
     };
-    deps.post.heed('router.loads', Words.loads, (body, from) => {
+    deps.post.onTell('router.loads', RouterMessages.loadUpdate, (body, from) => {
       counts.received++;
       received.set(
         from.id,
         new Map(body.rows.map(([id, runs, reads, tokens]) => [id, { runs, reads, tokens: tokens * 100 }])),
         RETENTION_MS,
       );
-      deps.loads.heard(estimateOtherLoads);
+      deps.loads.setGossipSource(estimateOtherLoads);
     });
     const intervalMs = (): number => {
-      const routers = deps.routers() ?? 1;
+      const routers = deps.routerCount() ?? 1;
       return Math.min(
         MAX_INTERVAL_MS,
         BASE_INTERVAL_MS *
@@ -78,8 +78,8 @@
       );
     };
     const tick = (): void => {
-      deps.loads.heard(estimateOtherLoads);
-      const rows = [...deps.loads.mine()].map(([id, r]) => [id, r.runs, r.reads, Math.round(r.tokens / 100)]);
+      deps.loads.setGossipSource(estimateOtherLoads);
+      const rows = [...deps.loads.ownLoads()].map(([id, r]) => [id, r.runs, r.reads, Math.round(r.tokens / 100)]);
       const text = JSON.stringify(rows);
       const now = deps.clock.mono();
       if (now - lastSentAt < intervalMs()) return;
@@ -93,7 +93,7 @@
     };
     return {
       start(): void {
-        stop = Timer.paced(deps.clock, intervalMs, tick);
+        stop = Timer.everyVarying(deps.clock, intervalMs, tick);
       },
       stop: (): void => stop(),
       tick,
--- a/packages/router/src/loadshedder.ts
+++ b/packages/router/src/loadshedder.ts
@@ -1,4 +1,4 @@
-import type { Chance, Clock } from '@pumicebarrow/forms';
+import type { RandomSource, Clock } from '@pumicebarrow/forms';
 
 /** Interval between updates of the probability. */
 const UPDATE_INTERVAL_MS = 100;
@@ -25,7 +25,7 @@
  * nothing is rejected while hardly anything waits.
  */
 export const LoadShedder = {
-  make(clock: Clock, random: Chance) {
+  make(clock: Clock, random: RandomSource) {
     let probability = 0;
     /** The shortest wait seen since the last update, and the shortest one of the interval before. */
     let minWaitMs = Infinity;
@@ -45,13 +45,13 @@
     };
     return {
       /** Whether to reject a request that has `waitMs` of work queued ahead of it. */
-      sheds(waitMs: number): boolean {
+      shouldShed(waitMs: number): boolean {
         minWaitMs = Math.min(minWaitMs, waitMs);
         update();
         return waitMs > TARGET_WAIT_MS / 2 && random.real() < probability;
       },
       /** Whether some requests are being rejected. */
-      active: (): boolean => probability > 0,
+      isActive: (): boolean => probability > 0,
     };
   },
 };
--- a/packages/router/src/outcomelog.ts
+++ b/packages/router/src/outcomelog.ts
@@ -26,7 +26,7 @@
       const complete = ended.find(([outcome]) => outcome === COMPLETE_OUTCOME)?.[1] ?? 0;
       if (total - complete <= total * MIN_UNSUCCESSFUL_FRACTION) return;
       const summary = ended.flatMap(([outcome, count]) => (count > 0 ? [`${count} ${outcome}`] : [])).join(', ');
-      deps.log.say(`Requests ended in ${LOG_INTERVAL_MS / 1000} s: ${summary}. ${deps.serverSummary()}`);
+      deps.log.info(`Requests ended in ${LOG_INTERVAL_MS / 1000} s: ${summary}. ${deps.serverSummary()}`);
     });
   },
 };
--- a/packages/router/src/nearest.ts
+++ b/packages/router/src/peerselector.ts
@@ -1,9 +1,9 @@
-import { Lot } from '@pumicebarrow/forms';
+import { RendezvousHash } from '@pumicebarrow/forms';
 
 /** `examinedUpTo` is the index in `arrivals` up to which all names have been ranked. */
 type Selection = { ids: readonly string[]; examinedUpTo: number };
 type Peers = { ids: readonly string[]; whole: boolean };
-type Dependencies = { mono: () => number; many: number };
+type Dependencies = { mono: () => number; peerCount: number };
 /** Names ranked per ms on average, at most in one burst, and at least per query. */
 const NAMES_PER_MS = 250;
 const BURST_NAMES = 200_000;
@@ -17,7 +17,7 @@
  * is ranked twice except those selected, and all names are ranked again only if a selected one is gone; ranking takes a
  * bounded part of the time and continues at the next query.
  */
-export const Nearest = {
+export const PeerSelector = {
   make(deps: Dependencies) {
     /** Names in order of arrival; an entry is current only if `positions` maps the name to its index. */
     let arrivals: string[] = [];
@@ -49,25 +49,25 @@
       arrivals.forEach((id, i) => positions.set(id, i));
     };
     return {
-      joined(id: string): void {
+      add(id: string): void {
         compact();
         positions.set(id, arrivals.length);
         arrivals.push(id);
       },
-      left(id: string): void {
+      remove(id: string): void {
         positions.delete(id);
         selections.delete(id);
       },
-      of(memberId: string): Peers {
+      peersOf(memberId: string): Peers {
         const selection = selections.get(memberId) ?? { ids: [], examinedUpTo: 0 };
         const ids = selection.ids.filter((id) => positions.has(id));
         const start = ids.length < selection.ids.length ? 0 : selection.examinedUpTo;
         const end = start + (start < arrivals.length ? takeAllowance(arrivals.length - start) : 0);
         const candidates = arrivals.slice(start, end).filter((id, i) => positions.get(id) === start + i);
         if (candidates.length > 0 || ids.length < selection.ids.length)
-          selection.ids = Lot.few(memberId, new Set([...ids, ...candidates]), (id) => id, deps.many + 1)
+          selection.ids = RendezvousHash.top(memberId, new Set([...ids, ...candidates]), (id) => id, deps.peerCount + 1)
             .filter((id) => id !== memberId)
-            .slice(0, deps.many);
+            .slice(0, deps.peerCount);
         selection.examinedUpTo = end;
         selections.set(memberId, selection);
         return { ids: selection.ids, whole: end === arrivals.length };
--- a/packages/router/src/rounds.ts
+++ b/packages/router/src/periodicchecks.ts
@@ -4,7 +4,7 @@
  * Runs periodic checks of everything under way on one timer. Invariants: each check runs once per interval until it is
  * removed; the timer is stopped while there are no checks.
  */
-export const Rounds = {
+export const PeriodicChecks = {
   make(clock: Clock, intervalMs: number) {
     const checks = new Set<() => void>();
     let stop: (() => void) | null = null;
--- a/packages/router/src/placement.test.ts
+++ b/packages/router/src/placement.test.ts
@@ -1,11 +1,11 @@
-import { Dice } from '@pumicebarrow/forms';
+import { Random } from '@pumicebarrow/forms';
 import { expect } from 'chai';
-import { KeptParts } from './keptparts.js';
+import { PrefixCacheEstimate } from './prefixcacheestimate.js';
 import { Placement } from './placement.js';
 import { ServerHealth } from './serverhealth.js';
 import { ServerList } from './serverlist.js';
 import { ServerLoads } from './serverloads.js';
-import { prompt, routing, server, testClock } from './stand.test.js';
+import { prompt, routing, server, testClock } from './fixtures.test.js';
 
 describe('placement', () => {
   const all = [
@@ -22,7 +22,7 @@
       () => 2000,
       () => undefined,
     );
-    list.take(all, time.clock.mono(), 'shared');
+    list.replace(all, time.clock.mono(), 'shared');
     const loads = ServerLoads.make(),
       health = ServerHealth.make(time.clock);
     const reassigned = new Set<string>();
@@ -30,7 +30,7 @@
     const slow = new Map<string, number>();
     const wait = { ms: 0 };
     const place = Placement.make({
-      ...{ chance: Dice.seeded(3), zone: 'z1', list, loads, health, kept: KeptParts.make(() => 400_000) },
+      ...{ random: Random.seeded(3), zone: 'z1', list, loads, health, kept: PrefixCacheEstimate.make(() => 400_000) },
       ...{
         pace: () => 40,
         speed: (id: string) => slow.get(id) ?? 1,
@@ -65,8 +65,9 @@
     for (const { runs, links, want } of cases) {
       const { place, loads, linked, service } = make();
       for (const id of links) linked.add(id);
-      for (let i = 0; i < runs; i++) loads.run('d1');
-      for (let i = 0; i < 20; i++) expect(place.decode(service, null, null, none)!.id, links.join()).to.equal(want);
+      for (let i = 0; i < runs; i++) loads.beginRun('d1');
+      for (let i = 0; i < 20; i++)
+        expect(place.chooseDecode(service, null, null, none)!.id, links.join()).to.equal(want);
     }
   });
   /**
@@ -78,52 +79,52 @@
     for (let i = 0; i < 200; i++) {
       const { place, loads, service, route } = make();
       const p = { ...prompt(300, 6000), parts: prompt(300, 6000).parts.map((x) => ({ ...x, id: `${x.id}${i}` })) };
-      for (const id of ['p1', 'p2']) loads.read(id, 12_000);
-      expect(place.weigh(service, route, p, none).read, `prefix ${i}`).to.not.equal(null);
+      for (const id of ['p1', 'p2']) loads.beginRead(id, 12_000);
+      expect(place.evaluate(service, route, p, none).prefill, `prefix ${i}`).to.not.equal(null);
     }
   });
   it('keeps a prefix at its home until the home is too busy', () => {
     const { place, loads, service, route } = make();
     const p = prompt(1200, 8000);
-    const home = place.weigh(service, route, p, none).read!.server.id;
-    for (let i = 0; i < 20; i++) expect(place.weigh(service, route, p, none).read!.server.id).to.equal(home);
-    loads.read(home, 60_000);
-    for (const id of ['d1', 'd2']) loads.read(id, 60_000);
-    expect(place.weigh(service, route, p, none).read!.server.id).to.not.equal(home);
+    const home = place.evaluate(service, route, p, none).prefill!.server.id;
+    for (let i = 0; i < 20; i++) expect(place.evaluate(service, route, p, none).prefill!.server.id).to.equal(home);
+    loads.beginRead(home, 60_000);
+    for (const id of ['d1', 'd2']) loads.beginRead(id, 60_000);
+    expect(place.evaluate(service, route, p, none).prefill!.server.id).to.not.equal(home);
   });
   it('reads short prompts at the decode server unless that is busy reading', () => {
     const { place, loads, service, route } = make();
     const p = prompt(200, 200);
-    expect(place.weigh(service, route, p, none).read).to.equal(null);
-    loads.read('d1', 4000);
-    loads.read('d2', 4000);
-    expect(place.weigh(service, route, p, none).read?.server.stage).to.equal('prefill');
+    expect(place.evaluate(service, route, p, none).prefill).to.equal(null);
+    loads.beginRead('d1', 4000);
+    loads.beginRead('d2', 4000);
+    expect(place.evaluate(service, route, p, none).prefill?.server.stage).to.equal('prefill');
   });
   it('reads at the decode server if recent reads waited at prefill servers for work of other routers', () => {
     const { place, wait, service, route } = make();
     const p = prompt(1800, 500);
-    expect(place.weigh(service, route, p, none).read?.server.stage).to.equal('prefill');
-    const { ms } = place.weigh(service, route, p, none);
+    expect(place.evaluate(service, route, p, none).prefill?.server.stage).to.equal('prefill');
+    const { firstEventMs: ms } = place.evaluate(service, route, p, none);
     wait.ms = 250;
-    expect(place.weigh(service, route, p, none).read).to.equal(null);
-    expect(place.weigh(service, route, p, none).ms).to.be.at.most(ms);
-    expect(place.weigh(service, route, prompt(9000, 5000), none).read?.server.stage).to.equal('prefill');
+    expect(place.evaluate(service, route, p, none).prefill).to.equal(null);
+    expect(place.evaluate(service, route, p, none).firstEventMs).to.be.at.most(ms);
+    expect(place.evaluate(service, route, prompt(9000, 5000), none).prefill?.server.stage).to.equal('prefill');
   });
   it('reads long prompts at the decode server once the prefill servers are far behind', () => {
     const { place, loads, service, route } = make();
     const p = prompt(3000, 200);
-    expect(place.weigh(service, route, p, none).read?.server.stage).to.equal('prefill');
-    loads.read('p1', 40_000);
-    loads.read('p2', 40_000);
-    expect(place.weigh(service, route, p, none).read).to.equal(null);
+    expect(place.evaluate(service, route, p, none).prefill?.server.stage).to.equal('prefill');
+    loads.beginRead('p1', 40_000);
+    loads.beginRead('p2', 40_000);
+    expect(place.evaluate(service, route, p, none).prefill).to.equal(null);
   });
   it('expects no queueing for a tiny prompt, which is read ahead of the queue', () => {
     const { place, loads, service, route } = make();
-    for (const id of ['p1', 'p2', 'd1', 'd2']) loads.read(id, 60_000);
-    const tiny = place.weigh(service, route, prompt(300, 200), none),
-      long = place.weigh(service, route, prompt(3000, 200), none);
-    expect(tiny.ms).to.be.lessThan(route.aim / 2);
-    expect(long.ms).to.be.greaterThan(1500);
+    for (const id of ['p1', 'p2', 'd1', 'd2']) loads.beginRead(id, 60_000);
+    const tiny = place.evaluate(service, route, prompt(300, 200), none),
+      long = place.evaluate(service, route, prompt(3000, 200), none);
+    expect(tiny.firstEventMs).to.be.lessThan(route.aim / 2);
+    expect(long.firstEventMs).to.be.greaterThan(1500);
   });
   it('leaves a busy home only for a server where few requests are delayed by the repeated read', () => {
     for (const [reads, stays] of [
@@ -132,49 +133,49 @@
     ] as const) {
       const { place, loads, service, route } = make();
       const p = prompt(5000, 3000);
-      const home = place.weigh(service, route, p, none).read!.server.id;
+      const home = place.evaluate(service, route, p, none).prefill!.server.id;
       const other = home === 'p1' ? 'p2' : 'p1';
-      loads.read(home, 70_000);
-      for (let i = 0; i < reads; i++) loads.read(other, 40_000 / reads);
-      for (const id of ['d1', 'd2']) loads.read(id, 90_000);
-      expect(place.weigh(service, route, p, none).read!.server.id === home, `${reads} reads`).to.equal(stays);
+      loads.beginRead(home, 70_000);
+      for (let i = 0; i < reads; i++) loads.beginRead(other, 40_000 / reads);
+      for (const id of ['d1', 'd2']) loads.beginRead(id, 90_000);
+      expect(place.evaluate(service, route, p, none).prefill!.server.id === home, `${reads} reads`).to.equal(stays);
     }
   });
   it('chooses no server that was ordered to another stage', () => {
     const { place, changed, service } = make();
     changed.add('d1');
-    expect(place.decode(service, null, all[0]!, none)?.id).to.equal('d2');
+    expect(place.chooseDecode(service, null, all[0]!, none)?.id).to.equal('d2');
   });
   it('uses a slow server only for what the others cannot take', () => {
     const { place, slow, loads, service } = make();
     slow.set('d1', 4);
-    expect(place.decode(service, prompt(2000), all[0]!, none)!.id).to.equal('d2');
-    for (let i = 0; i < 40; i++) loads.run('d2');
-    expect(place.decode(service, prompt(2000), all[0]!, none)!.id).to.equal('d1');
+    expect(place.chooseDecode(service, prompt(2000), all[0]!, none)!.id).to.equal('d2');
+    for (let i = 0; i < 40; i++) loads.beginRun('d2');
+    expect(place.chooseDecode(service, prompt(2000), all[0]!, none)!.id).to.equal('d1');
   });
   it('decodes in the zone of the KV cache unless that is clearly busier', () => {
     const { place, loads, service } = make();
-    expect(place.decode(service, prompt(2000), all[0]!, none)!.id).to.equal('d1');
-    expect(place.decode(service, prompt(2000), all[1]!, none)!.id).to.equal('d2');
-    for (let i = 0; i < 20; i++) loads.run('d1');
-    expect(place.decode(service, prompt(2000), all[0]!, none)!.id).to.equal('d2');
+    expect(place.chooseDecode(service, prompt(2000), all[0]!, none)!.id).to.equal('d1');
+    expect(place.chooseDecode(service, prompt(2000), all[1]!, none)!.id).to.equal('d2');
+    for (let i = 0; i < 20; i++) loads.beginRun('d1');
+    expect(place.chooseDecode(service, prompt(2000), all[0]!, none)!.id).to.equal('d2');
   });
   it('chooses a suspected server only if no other is left, and never one of another service', () => {
     const { place, health, service } = make();
-    health.bad('d1');
-    for (let i = 0; i < 20; i++) expect(place.decode(service, null, all[0]!, none)!.id).to.equal('d2');
-    health.bad('d2');
-    expect(['d1', 'd2']).to.include(place.decode(service, null, all[0]!, none)!.id);
-    expect(place.decode(service, null, all[0]!, new Set(['d1', 'd2']))).to.equal(null);
+    health.recordFailure('d1');
+    for (let i = 0; i < 20; i++) expect(place.chooseDecode(service, null, all[0]!, none)!.id).to.equal('d2');
+    health.recordFailure('d2');
+    expect(['d1', 'd2']).to.include(place.chooseDecode(service, null, all[0]!, none)!.id);
+    expect(place.chooseDecode(service, null, all[0]!, new Set(['d1', 'd2']))).to.equal(null);
   });
   it('heeds reports of other routers while they leave half of a stage, and its own failures always', () => {
     const { place, health, service } = make();
-    health.hint('d1', 'a');
-    for (let i = 0; i < 20; i++) expect(place.decode(service, null, all[0]!, none)!.id).to.equal('d2');
-    health.hint('d2', 'a');
-    const both = new Set(Array.from({ length: 40 }, () => place.decode(service, null, all[0]!, none)!.id));
+    health.recordPeerReport('d1', 'a');
+    for (let i = 0; i < 20; i++) expect(place.chooseDecode(service, null, all[0]!, none)!.id).to.equal('d2');
+    health.recordPeerReport('d2', 'a');
+    const both = new Set(Array.from({ length: 40 }, () => place.chooseDecode(service, null, all[0]!, none)!.id));
     expect(both.has('d1')).to.equal(true);
-    health.bad('d1');
-    for (let i = 0; i < 20; i++) expect(place.decode(service, null, all[0]!, none)!.id).to.equal('d2');
+    health.recordFailure('d1');
+    for (let i = 0; i < 20; i++) expect(place.chooseDecode(service, null, all[0]!, none)!.id).to.equal('d2');
   });
 });
--- a/packages/router/src/placement.ts
+++ b/packages/router/src/placement.ts
@@ -1,20 +1,20 @@
-import { Lot, type Chance, type Route, type Service } from '@pumicebarrow/forms';
-import { KeptParts } from './keptparts.js';
+import { RendezvousHash, type RandomSource, type Route, type Service } from '@pumicebarrow/forms';
+import { PrefixCacheEstimate } from './prefixcacheestimate.js';
 import type { Prompt } from './prompt.js';
 import type { Server } from './server.js';
 import type { ServerHealth } from './serverhealth.js';
 import type { ServerListing } from './serverlisting.js';
 import type { ServerLoads } from './serverloads.js';
 import { Urgency } from './urgency.js';
-import type { Weighed } from './weighed.js';
+import type { PlacementEstimate } from './placementestimate.js';
 
 type Dependencies = {
-  chance: Chance;
+  random: RandomSource;
   zone: string;
   list: ServerListing;
   loads: ReturnType<typeof ServerLoads.make>;
   health: ReturnType<typeof ServerHealth.make>;
-  kept: ReturnType<typeof KeptParts.make>;
+  kept: ReturnType<typeof PrefixCacheEstimate.make>;
   /** Predicate: whether the stage assignments, as of now, order a server to another stage than the list shows. */
   changing: () => (s: Server) => boolean;
   /** Measured read rate of a prefill server, in prompt tokens per ms. */
@@ -27,7 +27,7 @@
   wait: () => number;
 };
 const NO_EXCLUSIONS: ReadonlySet<string> = new Set();
-const NO_ESTIMATE: Weighed = { read: null, ms: 0, alone: 0, reading: null };
+const NO_ESTIMATE: PlacementEstimate = { prefill: null, firstEventMs: 0, uncontendedMs: 0, backlog: null };
 type Choice = { server: Server; ms: number };
 /** A decode server reads prompts at this fraction of a prefill server's rate, between the decoding of other runs. */
 const DECODE_READ_RATE_FRACTION = 0.5;
@@ -85,7 +85,7 @@
     const candidates = (service: Service, stage: Server['stage'], excluded: ReadonlySet<string>): Server[] => {
       const changing = deps.changing();
       const all = deps.list
-        .all()
+        .freshServers()
         .filter(
           (s) =>
             s.service === service.name &&
@@ -102,7 +102,7 @@
     const cheapest = (list: readonly Server[], cost: (s: Server) => number): Choice | null => {
       let best: Choice | null = null;
       for (const server of list) {
-        const ms = cost(server) + deps.chance.real() * 0.01;
+        const ms = cost(server) + deps.random.real() * 0.01;
         if (!best || ms < best.ms) best = { server, ms };
       }
       return best;
@@ -110,20 +110,24 @@
     const sharedTokens = (prompt: Prompt): number => prompt.tokens - (prompt.parts.at(-1)?.tokens ?? prompt.tokens);
     /** Tokens that a server would have to read, assuming that the home of a prefix holds it. */
     const tokensToRead = (s: Server, prompt: Prompt, home: Server | undefined): number =>
-      Math.max(1, prompt.tokens - Math.max(deps.kept.held(s.id, prompt), s === home ? sharedTokens(prompt) : 0));
+      Math.max(
+        1,
+        prompt.tokens - Math.max(deps.kept.cachedTokens(s.id, prompt), s === home ? sharedTokens(prompt) : 0),
+      );
     /** Shared tokens that the server would have to read again although the home holds them. */
     const sharedTokensReadAgain = (s: Server, prompt: Prompt, home: Server | undefined): number =>
-      s === home ? 0 : Math.max(0, sharedTokens(prompt) - deps.kept.held(s.id, prompt));
+      s === home ? 0 : Math.max(0, sharedTokens(prompt) - deps.kept.cachedTokens(s.id, prompt));
     const entryCost = (s: Server): number =>
       (s.warm > 0 ? WARMUP_COST_MS : 0) + (s.zone === deps.zone ? 0 : REMOTE_ZONE_COST_MS);
     /** Chooses the prefill server that reads the prompt soonest, or its home if that is soon enough. */
     const choosePrefill = (service: Service, route: Route, prompt: Prompt, excluded: ReadonlySet<string>) => {
       const list = candidates(service, 'prefill', excluded);
-      const home = Lot.first(KeptParts.sharedPrefixKey(prompt), list, (s) => s.id);
+      const home = RendezvousHash.first(PrefixCacheEstimate.sharedPrefixKey(prompt), list, (s) => s.id);
       const expectedMs = (s: Server): number =>
-        ((deps.loads.at(s.id).tokens + tokensToRead(s, prompt, home)) / deps.pace()) * deps.speed(s.id) + entryCost(s);
+        ((deps.loads.loadAt(s.id).tokens + tokensToRead(s, prompt, home)) / deps.pace()) * deps.speed(s.id) +
+        entryCost(s);
       const rereadCost = (s: Server): number =>
-        REREAD_COST_MS_PER_TOKEN + (deps.loads.at(s.id).reads * REREAD_DELAY_FRACTION) / deps.pace();
+        REREAD_COST_MS_PER_TOKEN + (deps.loads.loadAt(s.id).reads * REREAD_DELAY_FRACTION) / deps.pace();
       const best = cheapest(list, (s) => expectedMs(s) + sharedTokensReadAgain(s, prompt, home) * rereadCost(s));
       if (!home || !best) return null;
       const homeMs = expectedMs(home);
@@ -143,10 +147,10 @@
       // seen to read it.
       const home =
         prompt && !prefillServer && sharedTokens(prompt) < SHORT_READ_TOKENS
-          ? Lot.first(KeptParts.sharedPrefixKey(prompt), list, (s) => s.id)
+          ? RendezvousHash.first(PrefixCacheEstimate.sharedPrefixKey(prompt), list, (s) => s.id)
           : undefined;
       const best = cheapest(list, (s) => {
-        const { runs, tokens } = deps.loads.at(s.id);
+        const { runs, tokens } = deps.loads.loadAt(s.id);
         const busy =
           runs / Math.max(1, s.slots || defaultSlots) + tokens / (deps.pace() * DECODE_READ_RATE_FRACTION * 1000);
         const link = deps.linked(s) ? 0 : NEW_CONNECTION_COST;
@@ -157,7 +161,7 @@
         return (busy + own + IDLE) * deps.speed(s.id) + (s.zone === zone ? 0 : 0.12) + (s.warm > 0 ? 0.5 : 0) + link;
       });
       if (!best || !prompt || prefillServer) return best;
-      const { runs, tokens } = deps.loads.at(best.server.id);
+      const { runs, tokens } = deps.loads.loadAt(best.server.id);
       const work = tokensToRead(best.server, prompt, home) * INTERFERENCE_COST_FACTOR * (1 + runs / INTERFERENCE_RUNS);
       // Short shared parts have no home among decode servers that would be worth keeping to.
       const rereadMs = sharedTokensReadAgain(best.server, prompt, home) * REREAD_COST_MS_PER_TOKEN;
@@ -165,29 +169,33 @@
     };
     return {
       /** Whether some server has a slot for one more run; always true for a run with brief output. */
-      room(service: Service, prompt: Prompt | null): boolean {
+      hasRoom(service: Service, prompt: Prompt | null): boolean {
         if (!service.engine || !prompt || prompt.most < BRIEF_OUTPUT_TOKENS) return true;
         const list = candidates(service, 'decode', NO_EXCLUSIONS);
         const slots = service.engine.slots;
-        return list.length === 0 || list.some((s) => deps.loads.at(s.id).runs < (s.slots || slots) * SLOT_FRACTION);
+        return list.length === 0 || list.some((s) => deps.loads.loadAt(s.id).runs < (s.slots || slots) * SLOT_FRACTION);
       },
       /**
        * Estimates where the prompt should be read first and when the first event would come, both from the same state.
        */
-      weigh(service: Service, route: Route, prompt: Prompt, excluded: ReadonlySet<string>): Weighed {
+      evaluate(service: Service, route: Route, prompt: Prompt, excluded: ReadonlySet<string>): PlacementEstimate {
         const prefillChoice = service.engine ? choosePrefill(service, route, prompt, excluded) : null;
         const decodeChoice = service.engine ? chooseDecode(service, prompt, null, excluded) : null;
         if (!decodeChoice) return NO_ESTIMATE;
         if (!prefillChoice) {
           const pace = deps.pace() * DECODE_READ_RATE_FRACTION;
-          const own = prompt.tokens - deps.kept.held(decodeChoice.server.id, prompt);
+          const own = prompt.tokens - deps.kept.cachedTokens(decodeChoice.server.id, prompt);
           return {
             ...NO_ESTIMATE,
-            reading: { waits: deps.loads.at(decodeChoice.server.id).tokens / pace, own: own / pace, beside: true },
+            backlog: {
+              queuedMs: deps.loads.loadAt(decodeChoice.server.id).tokens / pace,
+              ownMs: own / pace,
+              atDecodeServer: true,
+            },
           };
         }
-        const crowded = deps.loads.at(decodeChoice.server.id).runs >= NO_READS_FROM_RUNS;
-        const isShort = deps.kept.held(decodeChoice.server.id, prompt) + SHORT_READ_TOKENS > prompt.tokens;
+        const crowded = deps.loads.loadAt(decodeChoice.server.id).runs >= NO_READS_FROM_RUNS;
+        const isShort = deps.kept.cachedTokens(decodeChoice.server.id, prompt) + SHORT_READ_TOKENS > prompt.tokens;
         // The load of a decode server is known better than the queue of prefill servers, which is mostly work of other
         // routers.
         const prefillMs = prefillChoice.ms + HANDOVER_MS + deps.wait();
@@ -195,28 +203,29 @@
         const read = { server: prefillChoice.server, fresh: prefillChoice.fresh, home: prefillChoice.home };
         const alone = prefillChoice.fresh / deps.pace() + HANDOVER_MS + RUN_START_MS;
         // A tiny prompt is read ahead of all that waits, so the queue does not delay it.
-        const skipsQueue = prefillChoice.fresh / deps.pace() < Urgency.TINY;
+        const skipsQueue = prefillChoice.fresh / deps.pace() < Urgency.TINY_READ_MS;
         const ms =
           (crowded ? prefillChoice.ms : Math.min(prefillChoice.ms, decodeChoice.ms)) + HANDOVER_MS + RUN_START_MS;
-        const queuedMs = deps.loads.at(prefillChoice.server.id).tokens / deps.pace();
-        const reading = { waits: queuedMs, own: prefillChoice.fresh / deps.pace(), beside: false };
+        const queuedMs = deps.loads.loadAt(prefillChoice.server.id).tokens / deps.pace();
+        const reading = { queuedMs, ownMs: prefillChoice.fresh / deps.pace(), atDecodeServer: false };
         const readOnDecode = !crowded && decodeChoice.ms <= decodeLimitMs;
         return {
-          read: readOnDecode ? null : read,
-          ms: skipsQueue ? Math.min(ms, alone) : ms,
-          alone,
-          reading: readOnDecode ? null : reading,
+          prefill: readOnDecode ? null : read,
+          firstEventMs: skipsQueue ? Math.min(ms, alone) : ms,
+          uncontendedMs: alone,
+          backlog: readOnDecode ? null : reading,
         };
       },
       /** Chooses the server that decodes: one with little load, close to the server that holds the KV cache. */
-      decode: (
+      chooseDecode: (
         service: Service,
         prompt: Prompt | null,
         prefillServer: Server | null,
         excluded: ReadonlySet<string>,
       ): Server | null => chooseDecode(service, prompt, prefillServer, excluded)?.server ?? null,
       /** Tokens that the server must read if it gets the prompt without a KV cache handle. */
-      fresh: (s: Server, prompt: Prompt): number => Math.max(1, prompt.tokens - deps.kept.held(s.id, prompt)),
+      tokensToRead: (s: Server, prompt: Prompt): number =>
+        Math.max(1, prompt.tokens - deps.kept.cachedTokens(s.id, prompt)),
     };
   },
 };
--- a/packages/router/src/readdeadline.ts
+++ b/packages/router/src/prefilldeadline.ts
@@ -10,23 +10,23 @@
 
 type ReadEstimate = {
   /** Read time queued ahead of the prompt, and its own read time, in ms. */
-  waits: number;
-  own: number;
+  queuedMs: number;
+  ownMs: number;
   /** Whether it would be read at a decode server, between the decoding of other runs. */
-  beside: boolean;
+  atDecodeServer: boolean;
   /** Latency target for the first event, in ms. */
   aim: number;
   /** Time for which the client will still wait, in ms. */
-  left: number;
+  remainingMs: number;
 };
 
 /**
  * Identifies requests whose prompt would be read too late for their clients, so that the read would be wasted. Where
  * only decode servers are left, long prompts are rejected first, since one of them takes the time of many short ones.
  */
-export const ReadDeadline = {
-  missed(estimate: ReadEstimate): boolean {
-    const { waits, own, beside, aim, left } = estimate;
+export const PrefillDeadline = {
+  wouldMiss(estimate: ReadEstimate): boolean {
+    const { queuedMs: waits, ownMs: own, atDecodeServer: beside, aim, remainingMs: left } = estimate;
     const usableWaitMs =
       Math.min(left, Math.max(GUARANTEED_WAIT_MS, aim * GUARANTEED_WAIT_AIMS)) * USABLE_WAIT_FRACTION;
     return waits > 0 && waits + own * (beside ? DECODE_READ_WEIGHT : 1) > usableWaitMs;
--- a/packages/router/src/keptparts.ts
+++ b/packages/router/src/prefixcacheestimate.ts
@@ -41,14 +41,14 @@
  * choices and never excludes a server. Invariant: bounded per server by the tokens that fit its memory and by a number
  * of entries; the least recently used prefix is dropped first, as at the server.
  */
-export const KeptParts = {
+export const PrefixCacheEstimate = {
   prefixesOf,
   /** Key of the prefix that requests share: all parts but the last. */
   sharedPrefixKey: (p: Prompt): string => prefixesOf(p).at(-2)?.key ?? p.model,
   make(memoryTokens: () => number) {
     const servers = new Map<string, ServerPrefixes>();
     return {
-      note(server: string, prompt: Prompt): void {
+      record(server: string, prompt: Prompt): void {
         let prefixes = servers.get(server);
         if (!prefixes) {
           prefixes = { tokensByKey: new Map(), totalTokens: 0, capacityTokens: Math.max(1, memoryTokens()) };
@@ -61,7 +61,7 @@
         }
       },
       /** Tokens of the longest prefix that the server probably holds. */
-      held(server: string, prompt: Prompt): number {
+      cachedTokens(server: string, prompt: Prompt): number {
         const tokensByKey = servers.get(server)?.tokensByKey;
         let longest = 0;
         for (const prefix of prefixesOf(prompt)) {
@@ -71,7 +71,7 @@
         return longest;
       },
       /** Drops the estimates of all servers but these. */
-      only(ids: ReadonlySet<string>): void {
+      retain(ids: ReadonlySet<string>): void {
         for (const id of servers.keys()) if (!ids.has(id)) servers.delete(id);
       },
     };
--- a/packages/router/src/keycheck.ts
+++ b/packages/router/src/requestauthentication.ts
@@ -1,5 +1,5 @@
 import { Err, Ok, Verdicts, type Result, type Route, type Tenant, type Verdict } from '@pumicebarrow/forms';
-import type { Request } from './request.js';
+import type { ClientRequest } from './clientrequest.js';
 import type { Routes } from './routes.js';
 
 /** The header in which a client sends its key. */
@@ -17,11 +17,11 @@
     if (!routes.tenants.keysRequired) return Ok(null);
     const tenant = routes.tenants.tenantForKey(keyDigest);
     if (tenant !== null || route.open === true) return Ok(tenant);
-    if (keyDigest === null) return Err(Verdicts.not('nokey', 'The request has no API key.'));
-    return Err(Verdicts.not('unknownkey', 'The API key of the request belongs to no tenant.'));
+    if (keyDigest === null) return Err(Verdicts.notRun('nokey', 'The request shows no key.'));
+    return Err(Verdicts.notRun('unknownkey', 'No tenant holds the key that the request shows.'));
   },
   /** The request as it is sent to servers: without the key, and with the tenant's name. */
-  withoutCredentials(routes: Routes, request: Request, tenant: Tenant | null): Request {
+  withoutCredentials(routes: Routes, request: ClientRequest, tenant: Tenant | null): ClientRequest {
     if (!routes.tenants.keysRequired) return request;
     const headers = request.headers.filter(([name]) => name.toLowerCase() !== CREDENTIALS_HEADER);
     return { ...request, headers, tenant: tenant?.name ?? null };
--- a/packages/router/src/serve.test.ts
+++ b/packages/router/src/requesthandler.test.ts
@@ -1,7 +1,7 @@
 import { Verdicts } from '@pumicebarrow/forms';
 import { expect } from 'chai';
-import { withoutServerNumbers, SHORT_PROMPT, play, type Scenario } from './play.test.js';
-import { server } from './stand.test.js';
+import { withoutServerNumbers, SHORT_PROMPT, runScenario, type Scenario } from './scenario.test.js';
+import { server } from './fixtures.test.js';
 
 describe('request handling', () => {
   const cases: [
@@ -21,7 +21,7 @@
     ],
     [
       'a request that resumes after an event passes the event id on',
-      { script: [{ read: 'ok' }, { run: 'ok', events: 1 }], request: { after: '7' } },
+      { script: [{ read: 'ok' }, { run: 'ok', events: 1 }], request: { lastEventId: '7' } },
       { calls: ['read p1', 'run d from h1 after 7'], log: ['8;', 'end'] },
     ],
     [
@@ -164,7 +164,7 @@
     ],
     [
       'nothing is sent while the configuration is not confirmed',
-      { script: [], unavailable: Verdicts.not('asking', 'learning', 0.2) },
+      { script: [], unavailable: Verdicts.notRun('asking', 'learning', 0.2) },
       { calls: [], code: 'asking', ran: 'no' },
     ],
     [
@@ -180,48 +180,52 @@
   ];
   for (const [name, setting, want] of cases) {
     it(name, async () => {
-      const got = await play(setting);
+      const got = await runScenario(setting);
       expect(withoutServerNumbers(got.calls)).to.deep.equal(want.calls);
       if (want.log) expect(got.log.slice(1)).to.deep.equal(want.log);
       else expect(got.log).to.deep.equal([]);
       expect(got.verdict?.code).to.equal(want.code);
       if (want.ran) expect(got.verdict?.ran).to.equal(want.ran);
       expect(got.suspected).to.have.length(want.suspects ?? 0);
-      expect([...got.loads.mine()]).to.deep.equal([]);
+      expect([...got.loads.ownLoads()]).to.deep.equal([]);
       if (want.turned) expect(got.turned).to.deep.equal(want.turned);
     });
   }
   it('defers a first attempt while the prefill servers are far behind and serves its retry', async () => {
     const busy = { p1: 60_000, d1: 60_000, d2: 60_000 };
-    const first = await play({ script: [{ read: 'ok' }], busy });
+    const first = await runScenario({ script: [{ read: 'ok' }], queuedTokens: busy });
     expect(first.calls).to.deep.equal([]);
     expect(first.log).to.deep.equal([]);
     expect(first.verdict).to.include({ code: 'deferred', ran: 'no' });
     expect(first.verdict?.after).to.be.within(0.3, 2.6);
-    const back = await play({ script: [{ read: 'ok' }, { run: 'ok', events: 1 }], busy, retryTimeoutMs: 6000 });
+    const back = await runScenario({
+      script: [{ read: 'ok' }, { run: 'ok', events: 1 }],
+      queuedTokens: busy,
+      retryTimeoutMs: 6000,
+    });
     expect(withoutServerNumbers(back.calls)).to.deep.equal(['read p1', 'run d from h1']);
     expect(back.log.at(-1)).to.equal('end');
   });
   it('moves a silent resumable stream to another server and suspects the first', async () => {
-    const got = await play({
+    const got = await runScenario({
       ...SHORT_PROMPT,
       script: [
         { run: 'ok', events: 1, hang: true },
         { run: 'ok', events: 1 },
       ],
-      duringRequest: async (t) => t.pass(2000),
+      duringRequest: async (t) => t.advance(2000),
     });
     expect(withoutServerNumbers(got.calls)).to.deep.equal(['run d', 'run d after 1']);
     expect(got.log.slice(1)).to.deep.equal(['1;', '2;', 'end']);
     expect(got.suspected).to.have.length(1);
   });
   it('keeps waiting for a silent stream that cannot be resumed', async () => {
-    const got = await play({
+    const got = await runScenario({
       ...SHORT_PROMPT,
       route: { resumable: false },
       script: [{ run: 'ok', events: 1, hang: true }],
       duringRequest: async (t, output) => {
-        await t.pass(3000);
+        await t.advance(3000);
         expect(output.log).to.deep.equal([output.log[0], '1;']);
         output.disconnect();
       },
@@ -230,7 +234,7 @@
     expect(got.log.at(-1)).to.equal('cut');
   });
   it('aborts the run at the server once the client has disconnected', async () => {
-    const got = await play({
+    const got = await runScenario({
       ...SHORT_PROMPT,
       script: [{ run: 'ok', hang: true }],
       duringRequest: async (t, output) => {
--- a/packages/router/src/requestlog.test.ts
+++ b/packages/router/src/requestlog.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
-import { withoutServerNumbers, SHORT_PROMPT, play, type Scenario } from './play.test.js';
+import { withoutServerNumbers, SHORT_PROMPT, runScenario, type Scenario } from './scenario.test.js';
 import { RequestLog } from './requestlog.js';
-import { server, testClock } from './stand.test.js';
+import { server, testClock } from './fixtures.test.js';
 
 describe('the recorded steps of a request', () => {
   const cases: [string, Scenario, string[]][] = [
@@ -41,20 +41,20 @@
   ];
   for (const [name, setting, want] of cases) {
     it(`are reported for ${name}`, async () => {
-      const { steps } = await play(setting);
+      const { steps } = await runScenario(setting);
       expect(
         withoutServerNumbers(steps.map((s) => [s.what, s.at, s.word].filter((w) => w !== '').join(' '))),
       ).to.deep.equal(want);
     });
   }
   it('include the tokens to prefill and whether the server is the home of the prefix', async () => {
-    const { steps } = await play({ script: [{ read: 'ok' }, { run: 'ok', events: 1 }] });
+    const { steps } = await runScenario({ script: [{ read: 'ok' }, { run: 'ok', events: 1 }] });
     const read = steps.find((s) => s.what === 'prefill');
     expect(read).to.deep.include({ tokens: 6000, ahead: 0, why: 'home' });
   });
   it('are held in a ring buffer that overwrites the oldest first', () => {
     const log = RequestLog.make(testClock().clock, 4);
-    for (const id of ['a', 'b', 'b', 'c', 'b']) log.note(id, 'beside', { at: id });
+    for (const id of ['a', 'b', 'b', 'c', 'b']) log.record(id, 'beside', { at: id });
     expect(log.stepsOf('a')).to.deep.equal([]);
     expect(log.stepsOf('b')).to.have.length(3);
     expect(log.stepsOf('c').map((s) => s.at)).to.deep.equal(['c']);
--- a/packages/router/src/requestlog.ts
+++ b/packages/router/src/requestlog.ts
@@ -16,7 +16,7 @@
     const ring: Entry[] = [];
     let nextIndex = 0;
     return {
-      note(id: string, what: RequestStep['what'], details: StepDetails = NO_DETAILS): void {
+      record(id: string, what: RequestStep['what'], details: StepDetails = NO_DETAILS): void {
         ring[nextIndex] = { id, wall: clock.wall(), what, details };
         nextIndex = (nextIndex + 1) % capacity;
       },
--- a/packages/router/src/budget.test.ts
+++ b/packages/router/src/retrybudget.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
-import { Budget } from './budget.js';
-import { Budgets } from './budgets.js';
+import { RetryBudget } from './retrybudget.js';
+import { RetryBudgets } from './retrybudgets.js';
 
 const IDLE = 4 * 3_600_000;
 const WINDOW = 10_000;
@@ -37,7 +37,7 @@
   const clock = { mono: () => now, wall: () => now, after: () => () => undefined };
   const terms = { ratio: RATIO, window: WINDOW, slack: c.slack };
   const all = Array.from({ length: c.routers }, () =>
-    Budget.make(
+    RetryBudget.make(
       clock,
       () => terms,
       () => c.routers,
@@ -49,11 +49,11 @@
     now = IDLE + step * STEP;
     all.forEach((b, router) => {
       for (let i = c.requests(router, step); i > 0; i--) {
-        b.request();
+        b.recordRequest();
         asked.push(step);
-        if (b.take()) taken.push(step);
+        if (b.tryTake()) taken.push(step);
         if (!chargesCutReads || !b.canCharge()) continue;
-        b.owe();
+        b.charge();
         taken.push(step);
       }
     });
@@ -162,22 +162,22 @@
 describe('retry budgets per service', () => {
   const clock = { mono: () => IDLE, wall: () => IDLE, after: () => () => undefined };
   const make = () =>
-    Budgets.make(
+    RetryBudgets.make(
       clock,
       () => ({ ratio: RATIO, window: WINDOW, slack: 0 }),
       () => 1,
     );
   it('give a failing service no retries for the requests of another', () => {
     const all = make();
-    for (let i = 0; i < 1000; i++) all.of('a').request();
-    expect([all.of('b').take(), all.of('a').take()]).to.deep.equal([false, true]);
+    for (let i = 0; i < 1000; i++) all.of('a').recordRequest();
+    expect([all.of('b').tryTake(), all.of('a').tryTake()]).to.deep.equal([false, true]);
   });
   it('keep the most recently used services, and start empty', () => {
     const all = make();
-    for (let i = 0; i < 1000; i++) all.of('a').request();
-    for (let i = 0; i < 255; i++) all.of(`s${i}`).request();
+    for (let i = 0; i < 1000; i++) all.of('a').recordRequest();
+    for (let i = 0; i < 255; i++) all.of(`s${i}`).recordRequest();
     const saved = all.of('a').level();
-    for (let i = 0; i < 256; i++) all.of(`t${i}`).request();
+    for (let i = 0; i < 256; i++) all.of(`t${i}`).recordRequest();
     expect([saved, all.of('a').level()]).to.deep.equal([1, 0]);
   });
 });
--- a/packages/router/src/budget.ts
+++ b/packages/router/src/retrybudget.ts
@@ -20,7 +20,7 @@
  * up to a part of `slack` plus a part of what the requests of the last window bring; what they may owe is limited to
  * the rest of that. A daemon that does not know the fleet size takes the share of one in a large fleet.
  */
-export const Budget = {
+export const RetryBudget = {
   make(clock: Clock, terms: () => RetryBudgetTerms, daemonCount: () => number | null) {
     let level = 0;
     let accruedAt = clock.mono();
@@ -48,7 +48,7 @@
     };
     return {
       /** Counts a request of this daemon and credits what it earns. */
-      request(): void {
+      recordRequest(): void {
         accrue();
         const now = currentPart();
         if (partCounts.at(-1)?.part === now) partCounts.at(-1)!.requests++;
@@ -56,7 +56,7 @@
         level = Math.min(maxLevel(), level + terms().ratio * REQUEST_EARNING_FRACTION);
       },
       /** Takes one retry; false if less than a whole one is saved. */
-      take(): boolean {
+      tryTake(): boolean {
         accrue();
         if (level < 1) return false;
         level -= 1;
@@ -71,7 +71,7 @@
         return level - 1 >= Math.min(0, maxLevel() - savingsAndDebtLimit());
       },
       /** Charges a send that counts as a retry, or may count as one, after it was made; later requests pay for it. */
-      owe(): void {
+      charge(): void {
         accrue();
         level -= 1;
       },
--- a/packages/router/src/routerstartup.ts
+++ b/packages/router/src/routeroptions.ts
@@ -1,4 +1,4 @@
-import type { Tunes } from '@pumicebarrow/purge';
+import type { GossipSettings } from '@pumicebarrow/purge';
 
 /** Start options of a router or control replica. Options that may change at run time are functions. */
 export type RouterOptions = {
@@ -10,7 +10,7 @@
   /** Addresses of daemons to contact first. */
   seeds: () => readonly string[];
   /** Gossip settings. */
-  tunes: Tunes;
+  tunes: GossipSettings;
   /** Drain time in ms: how long after the list shows a server as leaving a request may still reach it. */
   drain: number;
   /** Retry budget: `ratio` retries per request over a window in ms, plus `slack` retries that the fleet shares. */
--- a/packages/router/src/heard.ts
+++ b/packages/router/src/runobserver.ts
@@ -1,12 +1,12 @@
 /** Receives the output of a run as it arrives from the server. */
-export type Heard = {
+export type RunObserver = {
   /** Response status and headers. Returns false if the response is not wanted; then nothing of it is forwarded. */
-  head(status: number, headers: readonly (readonly [string, string])[]): boolean;
+  onHead(status: number, headers: readonly (readonly [string, string])[]): boolean;
   /**
    * Bytes of one whole event with its id, or of a body that is not an event stream (id null). Returns false if no more
    * is wanted.
    */
-  event(id: string | null, bytes: Uint8Array): boolean;
+  onEvent(id: string | null, bytes: Uint8Array): boolean;
   /** Called for any byte received, as a sign that the server is alive. */
-  stir(): void;
+  onActivity(): void;
 };
--- a/packages/router/src/play.test.ts
+++ b/packages/router/src/scenario.test.ts
@@ -1,39 +1,39 @@
 import { Timer, type Routing, type Tenant, type Verdict } from '@pumicebarrow/forms';
-import { Budget } from './budget.js';
-import { KeptParts } from './keptparts.js';
+import { RetryBudget } from './retrybudget.js';
+import { PrefixCacheEstimate } from './prefixcacheestimate.js';
 import { KeyRevocation } from './keyrevocation.js';
 import { LoadShedder } from './loadshedder.js';
 import { OutcomeCounters } from './outcomecounters.js';
-import { Pace } from './pace.js';
+import { PrefillRate } from './prefillrate.js';
 import { Placement } from './placement.js';
-import type { Request } from './request.js';
-import { ReadWait } from './readwait.js';
+import type { ClientRequest } from './clientrequest.js';
+import { UnexpectedPrefillWait } from './unexpectedprefillwait.js';
 import { RequestLog } from './requestlog.js';
 import { RouteTable } from './routetable.js';
-import { RequestHandler } from './serve.js';
+import { RequestHandler } from './requesthandler.js';
 import type { Server } from './server.js';
 import { ServerHealth } from './serverhealth.js';
 import { ServerList } from './serverlist.js';
 import { ServerLoads } from './serverloads.js';
-import { ServerSpeed } from './serverspeed.js';
-import type { ScriptedResult, SentRequest } from './stand.test.js';
+import { ServerSlowdown } from './serverslowdown.js';
+import type { ScriptedResult, SentRequest } from './fixtures.test.js';
 import {
   prompt,
   request,
   routing,
   server,
   testClock,
-  testEngine,
+  testModelServerClient,
   testResponseWriter,
   testWorld,
-} from './stand.test.js';
+} from './fixtures.test.js';
 
 /** A scripted fleet, and the request that is sent to it. */
 export type Scenario = {
   script: ScriptedResult[];
   route?: Partial<Routing['routes'][number]>;
   servers?: Server[];
-  request?: Partial<Request>;
+  request?: Partial<ClientRequest>;
   budget?: number;
   tenants?: Tenant[];
   /** Tenants of a second configuration, which takes effect after `ms`. */
@@ -50,7 +50,7 @@
   /** Time in ms after which the list is refreshed. */
   listRefreshedAfterMs?: number;
   /** Prompt tokens that other routers have queued at servers. */
-  busy?: Readonly<Record<string, number>>;
+  queuedTokens?: Readonly<Record<string, number>>;
   /** Client timeout in ms of a retry that follows a first attempt with 8 s. */
   retryTimeoutMs?: number;
   duringRequest?: (t: ReturnType<typeof testClock>, output: ReturnType<typeof testResponseWriter>) => Promise<void>;
@@ -58,7 +58,7 @@
 const FLEET = [server('p1', 'prefill'), server('d1', 'decode'), server('d2', 'decode')];
 
 /** Runs one scenario and returns what happened. */
-export const play = async (scenario: Scenario) => {
+export const runScenario = async (scenario: Scenario) => {
   const time = testClock(),
     calls: string[] = [],
     asked: SentRequest[] = [],
@@ -70,21 +70,21 @@
     () => 2000,
     () => undefined,
   );
-  list.take(scenario.servers ?? FLEET, time.clock.mono(), 'shared');
-  if (scenario.listTooOld) await time.pass(2001);
+  list.replace(scenario.servers ?? FLEET, time.clock.mono(), 'shared');
+  if (scenario.listTooOld) await time.advance(2001);
   const loads = ServerLoads.make(),
     health = ServerHealth.make(time.clock),
-    prefixCache = KeptParts.make(() => 400_000),
-    prefillRate = Pace.make(),
-    slowdown = ServerSpeed.make(time.clock),
-    prefillWait = ReadWait.make(time.clock, () => true);
+    prefixCache = PrefixCacheEstimate.make(() => 400_000),
+    prefillRate = PrefillRate.make(),
+    slowdown = ServerSlowdown.make(time.clock),
+    prefillWait = UnexpectedPrefillWait.make(time.clock, () => true);
   const terms = { ratio: 0.2, window: 10_000, slack: 0 };
-  const budget = Budget.make(
+  const budget = RetryBudget.make(
     time.clock,
     () => terms,
     () => 1,
   );
-  for (let i = 0; i < (scenario.budget ?? 20); i++) budget.request();
+  for (let i = 0; i < (scenario.budget ?? 20); i++) budget.recordRequest();
   let routes = RouteTable.make({
     ...routing(scenario.route),
     ...(scenario.tenants ? { tenants: scenario.tenants } : {}),
@@ -95,15 +95,15 @@
       : [...(scenario.remainingLifetimeMs ?? [Infinity])];
   const remainingLifetimeMs = (): number => (lifetimes.length > 1 ? lifetimes.shift()! : lifetimes[0]!);
   const placementDependencies = {
-    chance: world.chance,
+    random: world.random,
     zone: 'z1',
     list,
     loads,
     health,
     kept: prefixCache,
-    pace: prefillRate.now,
-    speed: slowdown.of,
-    wait: prefillWait.now,
+    pace: prefillRate.tokensPerMs,
+    speed: slowdown.factorOf,
+    wait: prefillWait.currentMeanMs,
     changing: () => () => false,
     linked: () => false,
   };
@@ -113,26 +113,26 @@
     () => 5000,
   );
   const requestLog = RequestLog.make(time.clock),
-    shedder = LoadShedder.make(time.clock, world.chance);
+    shedder = LoadShedder.make(time.clock, world.random);
   const serve = RequestHandler.make({
-    log: requestLog,
+    requestLog,
     counters: OutcomeCounters.make(),
     shedders: { of: () => shedder },
     loadAggregator: {
       refresh: () =>
-        scenario.loadQueryMs === undefined ? Promise.resolve() : Timer.nap(time.clock, scenario.loadQueryMs),
+        scenario.loadQueryMs === undefined ? Promise.resolve() : Timer.sleep(time.clock, scenario.loadQueryMs),
     },
     ...{
       world,
       serverList: list,
       loads,
       health,
-      kept: prefixCache,
-      pace: prefillRate,
-      speed: slowdown,
-      wait: prefillWait,
-      budgets: { of: () => budget },
-      engine: testEngine(scenario.script, calls, asked),
+      prefixCache,
+      prefillRate,
+      slowdown,
+      prefillWait,
+      retryBudgets: { of: () => budget },
+      engine: testModelServerClient(scenario.script, calls, asked),
     },
     ...{
       unavailable: () => scenario.unavailable ?? null,
@@ -142,28 +142,29 @@
       routes: () => routes,
       placement: Placement.make(placementDependencies),
     },
-    turned: (x) => void (health.turned(x.id) && turned.push(x.id)),
-    suspect: (x) => void (health.bad(x.id) && suspected.push(x.id)),
+    noteRejection: (x) => void (health.recordRejection(x.id) && turned.push(x.id)),
+    suspect: (x) => void (health.recordFailure(x.id) && suspected.push(x.id)),
   });
-  loads.heard(
-    () => new Map(Object.entries(scenario.busy ?? {}).map(([id, tokens]) => [id, { runs: 0, reads: 1, tokens }])),
+  loads.setGossipSource(
+    () =>
+      new Map(Object.entries(scenario.queuedTokens ?? {}).map(([id, tokens]) => [id, { runs: 0, reads: 1, tokens }])),
   );
   if (scenario.retryTimeoutMs !== undefined)
     await serve(request(time.clock.mono(), scenario.request), testResponseWriter().writer);
   const output = testResponseWriter();
-  const more = scenario.retryTimeoutMs === undefined ? {} : { wait: scenario.retryTimeoutMs };
+  const more = scenario.retryTimeoutMs === undefined ? {} : { clientTimeoutMs: scenario.retryTimeoutMs };
   const done = serve(request(time.clock.mono(), { ...scenario.request, ...more }), output.writer);
   if (scenario.listRefreshedAfterMs !== undefined) {
-    await time.pass(scenario.listRefreshedAfterMs);
-    list.take(scenario.servers ?? FLEET, time.clock.mono(), 'shared');
+    await time.advance(scenario.listRefreshedAfterMs);
+    list.replace(scenario.servers ?? FLEET, time.clock.mono(), 'shared');
   }
   for (const next of [scenario.secondTenants, scenario.thirdTenants]) {
     if (!next) continue;
-    await time.pass(next.ms);
+    await time.advance(next.ms);
     routes = RouteTable.make({ ...routing(scenario.route), tenants: next.tenants });
     revocation.configurationChanged();
   }
-  if (scenario.listTooOld || scenario.unavailable) await time.pass(600);
+  if (scenario.listTooOld || scenario.unavailable) await time.advance(600);
   if (scenario.duringRequest) await scenario.duringRequest(time, output);
   const verdict = await done;
   return {
--- a/packages/router/src/serverhealth.ts
+++ b/packages/router/src/serverhealth.ts
@@ -73,12 +73,12 @@
     };
     return {
       /** Any byte was received from the server. */
-      stir(id: string): void {
+      recordActivity(id: string): void {
         healthOf(id).lastActivity = clock.mono();
       },
-      silent: (id: string): number => clock.mono() - healthOf(id).lastActivity,
+      msSinceActivity: (id: string): number => clock.mono() - healthOf(id).lastActivity,
       /** A request that was sent at `sentAt` succeeded. */
-      good(id: string, sentAt = Infinity): void {
+      recordSuccess(id: string, sentAt = Infinity): void {
         const health = healthOf(id);
         health.failureLevel = Math.max(0, health.failureLevel - SUCCESS_LEVEL_REDUCTION);
         if (health.suspected && sentAt < health.suspectedAt) return;
@@ -91,7 +91,7 @@
        * The server rejected a request because it is full or changing its stage. This is no failure, but the next
        * request would be rejected too. True if the server was open before.
        */
-      turned(id: string): boolean {
+      recordRejection(id: string): boolean {
         const health = healthOf(id),
           now = clock.mono();
         const wasOpen = health.closedUntil <= now;
@@ -106,7 +106,7 @@
        * Another server could not fetch a handle of this one. True once this server's handles are considered at fault:
        * the fetching server may be full instead, and reports that in the same words.
        */
-      lapse(id: string): boolean {
+      recordHandleLoss(id: string): boolean {
         const health = healthOf(id),
           now = clock.mono();
         health.handleLosses = now - health.lastHandleLossAt > HANDLE_LOSS_WINDOW_MS ? 1 : health.handleLosses + 1;
@@ -114,11 +114,11 @@
         return health.handleLosses >= HANDLE_LOSS_THRESHOLD;
       },
       /** A handle of this server was fetched. */
-      fetched(id: string): void {
+      recordHandleFetched(id: string): void {
         healthOf(id).handleLosses = 0;
       },
       /** A request to the server failed. True if the server was open to all requests before. */
-      bad(id: string): boolean {
+      recordFailure(id: string): boolean {
         const health = healthOf(id),
           now = clock.mono();
         const newlySuspected = !health.suspected;
@@ -138,7 +138,7 @@
        * daemon's link. Reports of several daemons add up; repeated reports of the same daemon in a row count once.
        * `random` spreads the times at which daemons return.
        */
-      hint(id: string, by = '', random = 0): void {
+      recordPeerReport(id: string, by = '', random = 0): void {
         const { peerReport } = healthOf(id),
           now = clock.mono();
         const remaining = peerReport.weight * Math.exp(-(now - peerReport.at) / PEER_REPORT_DECAY_MS);
@@ -172,7 +172,7 @@
        * Starts a request and returns the function to call once its outcome is judged; a trial without a result is
        * passed on to another request.
        */
-      begin(id: string): () => void {
+      beginRequest(id: string): () => void {
         const health = rows.get(id);
         if (!health?.suspected || health.trialId > 0) return () => undefined;
         const ownTrial = ++trials;
@@ -181,7 +181,7 @@
           if (health.trialId === ownTrial) health.trialId = 0;
         };
       },
-      only(ids: ReadonlySet<string>): void {
+      retain(ids: ReadonlySet<string>): void {
         for (const id of rows.keys()) if (!ids.has(id)) rows.delete(id);
       },
     };
--- a/packages/router/src/serverlist.ts
+++ b/packages/router/src/serverlist.ts
@@ -32,12 +32,12 @@
       for (const listener of listeners) listener(held.all, previous);
     };
     return {
-      young: isFresh,
-      age: ageMs,
+      isFresh,
+      ageMs,
       /**
        * Replaces the list by a whole one that was asked for at `at`, by any daemon; false if the list held is newer.
        */
-      take(servers: readonly Server[], at: number, newSource: 'shared' | 'asked'): boolean {
+      replace(servers: readonly Server[], at: number, newSource: 'shared' | 'asked'): boolean {
         detectSuspension();
         if (at <= knownAt || at < invalidatedAt) return false;
         knownAt = at;
@@ -49,7 +49,7 @@
        * Applies a newer version of the shared list whose age is not yet known: its contents count, but the list gets no
        * fresher.
        */
-      glimpse(servers: readonly Server[]): void {
+      applyUnconfirmed(servers: readonly Server[]): void {
         if (source === 'shared') setServers(servers);
       },
       /** Records that the list held was still the newest at `at`; false if it is not the shared list. */
@@ -59,25 +59,25 @@
         return source === 'shared';
       },
       /** Whether the list held is the shared one, not one fetched from the platform or another router. */
-      shared: (): boolean => source === 'shared',
+      isShared: (): boolean => source === 'shared',
       /** Makes the list too old, whatever was known of its age. */
-      drop(): void {
+      invalidate(): void {
         knownAt = -Infinity;
         invalidatedAt = clock.mono();
       },
-      heed(listener: ChangeListener): void {
+      subscribe(listener: ChangeListener): void {
         listeners.push(listener);
       },
-      all: (): readonly Server[] => (isFresh() ? held.all : []),
+      freshServers: (): readonly Server[] => (isFresh() ? held.all : []),
       /** The last list seen, however old: for asking about servers, never for sending to them. */
       lastKnownServers: (): readonly Server[] => held.all,
       /** The server if the list is fresh and shows it ready. */
-      good(id: string): Server | null {
+      readyServer(id: string): Server | null {
         if (!isFresh()) return null;
         const s = held.byId.get(id);
         return s && s.state === 'ready' ? s : null;
       },
-      stage: (id: string): Server['stage'] => held.byId.get(id)?.stage ?? null,
+      stageOf: (id: string): Server['stage'] => held.byId.get(id)?.stage ?? null,
     };
   },
 };
--- a/packages/router/src/listbody.ts
+++ b/packages/router/src/serverlistbody.ts
@@ -4,7 +4,7 @@
  * Body of the shared record `list`, the server inventory. Rows are tuples, since the list goes to every daemon at each
  * change: id, index into `services`, address, index into `zones`, stage, draining, slots, warming up.
  */
-export const ListBody = Type.Object(
+export const ServerListBody = Type.Object(
   {
     rows: Type.Array(
       Type.Tuple([
@@ -24,4 +24,4 @@
   },
   { additionalProperties: false },
 );
-export type ListBody = Static<typeof ListBody>;
+export type ServerListBody = Static<typeof ServerListBody>;
--- a/packages/router/src/listduty.ts
+++ b/packages/router/src/serverlistpublisher.ts
@@ -1,19 +1,19 @@
-import { Hash, Timer, type Clock, type Mark } from '@pumicebarrow/forms';
-import type { Purging } from '@pumicebarrow/purge';
-import { ListRows } from './listrows.js';
-import type { ListSource } from './listsource.js';
+import { Hash, Timer, type Clock, type VersionStamp } from '@pumicebarrow/forms';
+import type { GossipNode } from '@pumicebarrow/purge';
+import { ServerListRows } from './serverlistrows.js';
+import type { ServerListSource } from './serverlistsource.js';
 import type { Server } from './server.js';
 
 type Dependencies = {
   clock: Clock;
-  listSource: ListSource;
-  purge: Purging;
+  listSource: ServerListSource;
+  purge: GossipNode;
   /** Fencing token under which this replica has the duty now; null if it does not have the duty. */
   fence: () => number | null;
   /** Time between two polls of the platform. */
   intervalMs: number;
 };
-type PublishedList = { mark: Mark; requestedAt: number; digest: string; servers: readonly Server[] };
+type PublishedList = { mark: VersionStamp; requestedAt: number; digest: string; servers: readonly Server[] };
 /** How often it is checked whether a poll is due or the token was lost. */
 const CHECK_INTERVAL_MS = 100;
 
@@ -28,13 +28,13 @@
     let nextPollAt = -Infinity;
     let stopTimer: () => void = () => undefined;
     const publishIfChanged = (servers: readonly Server[], requestedAt: number, fence: number): void => {
-      const body = ListRows.pack(servers),
-        digest = Hash.of(body);
+      const body = ServerListRows.pack(servers),
+        digest = Hash.ofValue(body);
       if (published && published.mark[0] === fence && published.digest === digest) {
         published = { ...published, requestedAt, servers };
         return;
       }
-      const mark: Mark = [fence, published && published.mark[0] === fence ? published.mark[1] + 1 : 0];
+      const mark: VersionStamp = [fence, published && published.mark[0] === fence ? published.mark[1] + 1 : 0];
       if (deps.purge.publish({ name: 'list', mark, body })) published = { mark, requestedAt, digest, servers };
     };
     const tick = async (): Promise<void> => {
@@ -59,7 +59,7 @@
       },
       stop: (): void => stopTimer(),
       tick,
-      current: (): { mark: Mark; age: number } | null =>
+      current: (): { mark: VersionStamp; age: number } | null =>
         published && published.mark[0] === deps.fence()
           ? { mark: published.mark, age: deps.clock.mono() - published.requestedAt }
           : null,
--- a/packages/router/src/listrows.ts
+++ b/packages/router/src/serverlistrows.ts
@@ -1,5 +1,5 @@
-import { Indices } from '@pumicebarrow/forms';
-import type { ListBody } from './listbody.js';
+import { NameIndex } from '@pumicebarrow/forms';
+import type { ServerListBody } from './serverlistbody.js';
 import type { Server } from './server.js';
 
 const STAGES = ['prefill', 'decode', null] as const;
@@ -10,23 +10,23 @@
  * Converts between the server list held in memory and the compact form that is shared. Names are sorted, so that rows
  * of unchanged servers are identical in the next version and only the difference has to be sent.
  */
-export const ListRows = {
-  pack(servers: readonly Server[]): ListBody {
+export const ServerListRows = {
+  pack(servers: readonly Server[]): ServerListBody {
     const indexNames = (of: (s: Server) => string) => {
-      const indices = Indices.make();
-      for (const name of [...new Set(servers.map(of))].sort()) indices.of(name);
+      const indices = NameIndex.make();
+      for (const name of [...new Set(servers.map(of))].sort()) indices.indexOf(name);
       return indices;
     };
     const services = indexNames((s) => s.service),
       zones = indexNames((s) => s.zone);
     const toList = (indices: typeof zones): string[] =>
-      Array.from({ length: indices.size() }, (_, i) => indices.name(i)!);
+      Array.from({ length: indices.size() }, (_, i) => indices.nameAt(i)!);
     const sorted = [...servers].sort((a, b) => (a.id < b.id ? -1 : 1));
-    const rows = sorted.map((s): ListBody['rows'][number] => [
+    const rows = sorted.map((s): ServerListBody['rows'][number] => [
       s.id,
-      services.of(s.service),
+      services.indexOf(s.service),
       s.addr,
-      zones.of(s.zone),
+      zones.indexOf(s.zone),
       STAGES.indexOf(s.stage),
       s.state === 'draining' ? 1 : 0,
       s.slots,
@@ -34,7 +34,7 @@
     ]);
     return { rows, services: toList(services), zones: toList(zones) };
   },
-  open(body: ListBody): Server[] {
+  unpack(body: ServerListBody): Server[] {
     return body.rows.map(([id, service, addr, zone, stage, draining, slots, warming]) => ({
       id,
       service: body.services[service] ?? '',
--- a/packages/router/src/serverloads.ts
+++ b/packages/router/src/serverloads.ts
@@ -61,11 +61,11 @@
        * Adds a run at the server. Returns the function that ends it; calling it twice counts once. The same holds for
        * `beginRead`.
        */
-      run: (id: string): (() => void) => add(id, { runs: 1, reads: 0, tokens: 0 }),
+      beginRun: (id: string): (() => void) => add(id, { runs: 1, reads: 0, tokens: 0 }),
       /** Adds a prompt that is read there, by itself or at the start of a run. */
-      read: (id: string, tokens: number): (() => void) => add(id, { runs: 0, reads: 1, tokens }),
+      beginRead: (id: string, tokens: number): (() => void) => add(id, { runs: 0, reads: 1, tokens }),
       /** This daemon's totals: tokens to be read at prefill servers, tokens to be read at other servers, and runs. */
-      total(isPrefill: (id: string) => boolean): { read: number; beside: number; run: number } {
+      ownTotals(isPrefill: (id: string) => boolean): { read: number; beside: number; run: number } {
         const sum = { read: 0, beside: 0, run: 0 };
         for (const [id, r] of own) {
           if (isPrefill(id)) sum.read += r.tokens;
@@ -74,8 +74,8 @@
         }
         return sum;
       },
-      mine: (): ReadonlyMap<string, ServerLoad> => own,
-      at(id: string): ServerLoad {
+      ownLoads: (): ReadonlyMap<string, ServerLoad> => own,
+      loadAt(id: string): ServerLoad {
         if (fleetLoads && mono() - fleetLoads.at < FLEET_LOADS_VALID_MS) return estimate(fleetLoads, id);
         if (gossipSource) gossipedLoads = gossipSource();
         gossipSource = null;
@@ -84,7 +84,7 @@
         return { runs: a.runs + b.runs, reads: a.reads + b.reads, tokens: a.tokens + b.tokens };
       },
       /** Marks that gossip has arrived; it is added up when loads are next read, not before. */
-      heard(next: () => ReadonlyMap<string, ServerLoad>): void {
+      setGossipSource(next: () => ReadonlyMap<string, ServerLoad>): void {
         gossipSource = next;
       },
     };
--- a/packages/router/src/serverspeed.ts
+++ b/packages/router/src/serverslowdown.ts
@@ -12,7 +12,7 @@
  * Learns the factor by which each server takes longer than expected. Invariant: without new samples a server counts as
  * fast as any other again after a while.
  */
-export const ServerSpeed = {
+export const ServerSlowdown = {
   make(clock: Clock) {
     const rows = new Map<string, Slowdown>();
     const currentFactor = (id: string): number => {
@@ -24,12 +24,12 @@
        * Queues make any server late at times, so only a clear slowdown counts, and only the part beyond
        * NORMAL_SLOWDOWN.
        */
-      of: (id: string): number => Math.max(1, currentFactor(id) - (NORMAL_SLOWDOWN - 1)),
-      note(id: string, actualMs: number, expectedMs: number): void {
+      factorOf: (id: string): number => Math.max(1, currentFactor(id) - (NORMAL_SLOWDOWN - 1)),
+      record(id: string, actualMs: number, expectedMs: number): void {
         const sample = Math.min(MAX_SAMPLE, Math.max(MIN_SAMPLE, actualMs / Math.max(1, expectedMs)));
         rows.set(id, { factor: currentFactor(id) * (1 - SAMPLE_WEIGHT) + sample * SAMPLE_WEIGHT, at: clock.mono() });
       },
-      only(ids: ReadonlySet<string>): void {
+      retain(ids: ReadonlySet<string>): void {
         for (const id of rows.keys()) if (!ids.has(id)) rows.delete(id);
       },
     };
--- a/packages/router/src/leaving.test.ts
+++ b/packages/router/src/shutdown.test.ts
@@ -1,9 +1,9 @@
-import { Dice, Err } from '@pumicebarrow/forms';
-import { Tuned } from '@pumicebarrow/purge';
+import { Random, Err } from '@pumicebarrow/forms';
+import { GossipDefaults } from '@pumicebarrow/purge';
 import { expect } from 'chai';
-import { SHORT_PROMPT, play } from './play.test.js';
+import { SHORT_PROMPT, runScenario } from './scenario.test.js';
 import { Router } from './router.js';
-import { request, routing, testClock, testEngine, testResponseWriter, testWorld } from './stand.test.js';
+import { request, routing, testClock, testModelServerClient, testResponseWriter, testWorld } from './fixtures.test.js';
 
 describe('a router that is shutting down', () => {
   it('confirms the configuration again after a suspension and serves requests that still arrive', async () => {
@@ -11,15 +11,15 @@
     let slept = 0;
     const clock = { ...time.clock, mono: () => time.clock.mono() + slept, wall: () => time.clock.wall() + slept };
     const options = {
-      ...{ id: 'r1', addr: '10.0.0.1:1', zone: 'z1', tunes: Tuned, seeds: () => [], drain: 3000 },
+      ...{ id: 'r1', addr: '10.0.0.1:1', zone: 'z1', tunes: GossipDefaults, seeds: () => [], drain: 3000 },
       budget: { ratio: 0.2, window: 10_000, slack: 0 },
       revocation: { within: 5000, everywhere: false },
     };
     const source = { poll: () => Promise.resolve(Err('none')) };
-    const router = Router.make(testWorld(clock), options, testEngine([], []), source);
+    const router = Router.make(testWorld(clock), options, testModelServerClient([], []), source);
     const code = async (): Promise<string | undefined> => {
       const pending = router.serve(request(clock.mono()), testResponseWriter().writer);
-      await time.pass(600);
+      await time.advance(600);
       return (await pending)?.code;
     };
     router.start();
@@ -27,13 +27,13 @@
       ...{ name: 'charter', mark: [1, 0] },
       body: { version: 1, plan: 'p', charter: routing() },
     });
-    await time.pass(3000);
+    await time.advance(3000);
     expect(await code()).to.equal('oldlist');
     router.leave(2600, 20_000);
     expect(await code()).to.equal('oldlist');
     slept += 5000;
     expect(await code()).to.equal('asking');
-    await time.pass(2000);
+    await time.advance(2000);
     expect(await code()).to.equal('oldlist');
     router.stop();
   });
@@ -44,7 +44,7 @@
       ['with less time than the request may take', 7000, 'leaving'],
     ];
     for (const [name, left, code] of cases) {
-      const got = await play({ ...SHORT_PROMPT, remainingLifetimeMs: left, script: [{ run: 'ok', events: 1 }] });
+      const got = await runScenario({ ...SHORT_PROMPT, remainingLifetimeMs: left, script: [{ run: 'ok', events: 1 }] });
       expect(got.verdict?.code, name).to.equal(code);
       expect(got.calls.length, name).to.equal(code ? 0 : 1);
     }
@@ -56,15 +56,15 @@
    * duration of a response.
    */
   it('rejects requests whose client may still wait at its end, however short earlier responses were', async () => {
-    const random = Dice.seeded(71);
+    const random = Random.seeded(71);
     const draw = (least: number, most: number): number => Math.round(least + random.real() * (most - least));
     for (let seed = 0; seed < 60; seed++) {
       const timeout = draw(500, 8000);
       const wait = draw(500, 8000);
       const left = draw(200, 9000);
-      const got = await play({
+      const got = await runScenario({
         ...{ route: { timeout }, remainingLifetimeMs: [Infinity, left], retryTimeoutMs: wait },
-        request: { ...SHORT_PROMPT.request, due: 1000 + wait },
+        request: { ...SHORT_PROMPT.request, deadline: 1000 + wait },
         script: [
           { run: 'ok', events: 1 },
           { run: 'ok', events: 1 },
--- a/packages/router/src/stages.test.ts
+++ b/packages/router/src/stagebalancer.test.ts
@@ -1,8 +1,8 @@
 import { expect } from 'chai';
-import { Changing } from './changing.js';
-import { StageMix } from './stagemix.js';
-import { makeStageBalancerFixture } from './stagestand.test.js';
-import { server } from './stand.test.js';
+import { StageChanges } from './stagechanges.js';
+import { StageSizing } from './stagesizing.js';
+import { makeStageBalancerFixture } from './stagebalancerfixture.test.js';
+import { server } from './fixtures.test.js';
 
 describe('stage sizing', () => {
   const cases: [
@@ -37,7 +37,8 @@
     ['a single prefill server decodes, or nothing could run', { read: 0, run: 0 }, { prefill: 1, decode: 0 }, -1],
     ['a single decode server stays', { read: 9000, run: 90 }, { prefill: 0, decode: 1 }, 0],
   ];
-  for (const [name, load, count, want] of cases) it(name, () => expect(StageMix.direction(load, count)).to.equal(want));
+  for (const [name, load, count, want] of cases)
+    it(name, () => expect(StageSizing.direction(load, count)).to.equal(want));
 
   it('never oscillates, whatever the number of servers', () => {
     for (const total of [6, 23, 24, 60, 61, 200, 1250])
@@ -48,8 +49,8 @@
           const load = () => ({ read: (read * at.prefill) / now.prefill, run: (run * at.decode) / now.decode });
           const leans = new Set<number>();
           for (let i = 0; i < total; i++) {
-            const by = StageMix.serversToMove(load(), now);
-            expect(Math.abs(by)).to.be.at.most(StageMix.maxMoves(now));
+            const by = StageSizing.serversToMove(load(), now);
+            expect(Math.abs(by)).to.be.at.most(StageSizing.maxMoves(now));
             leans.add(Math.sign(by));
             now = { prefill: now.prefill + by, decode: now.decode - by };
           }
@@ -58,22 +59,22 @@
   });
   it('moves at once what balances the stages of a large service, and nothing afterwards', () => {
     const now = { prefill: 38, decode: 60 };
-    expect(StageMix.serversToMove({ read: 1800, run: 4 }, now)).to.be.within(20, 24);
-    const by = StageMix.serversToMove({ read: 300, run: 4 }, now);
+    expect(StageSizing.serversToMove({ read: 1800, run: 4 }, now)).to.be.within(20, 24);
+    const by = StageSizing.serversToMove({ read: 300, run: 4 }, now);
     expect(by).to.be.within(8, 24);
     const next = { prefill: 38 + by, decode: 60 - by };
     const then = {
-      read: StageMix.scaledQueue(300, 130, now.prefill / next.prefill),
-      run: StageMix.scaledQueue(4, 22, now.decode / next.decode),
+      read: StageSizing.scaledQueue(300, 130, now.prefill / next.prefill),
+      run: StageSizing.scaledQueue(4, 22, now.decode / next.decode),
     };
-    expect(StageMix.serversToMove(then, next)).to.equal(0);
-    expect(StageMix.serversToMove({ read: 300, run: 4 }, { prefill: 2, decode: 4 })).to.equal(0);
+    expect(StageSizing.serversToMove(then, next)).to.equal(0);
+    expect(StageSizing.serversToMove({ read: 300, run: 4 }, { prefill: 2, decode: 4 })).to.equal(0);
   });
   it('moves after several equal observations, and at once if a stage is empty', () => {
-    const m = StageMix.make();
-    const looks = [1, 2, 3, 4, 5].map(() => m.look({ read: 1500, run: 4 }, { prefill: 2, decode: 4 }));
+    const m = StageSizing.make();
+    const looks = [1, 2, 3, 4, 5].map(() => m.decide({ read: 1500, run: 4 }, { prefill: 2, decode: 4 }));
     expect(looks).to.deep.equal([0, 0, 0, 0, 1]);
-    expect(StageMix.make().look({ read: 0, run: 0 }, { prefill: 0, decode: 4 })).to.equal(1);
+    expect(StageSizing.make().decide({ read: 0, run: 0 }, { prefill: 0, decode: 4 })).to.equal(1);
   });
 });
 
@@ -126,7 +127,7 @@
     await d.pass(800);
     expect(d.orders).to.have.length(1);
     expect(d.store.get('row:d1')?.body).to.include({ part: 'prefill', stage: 'serving' });
-    expect(d.store.mark('row:d1')?.[0]).to.equal(5);
+    expect(d.store.stamp('row:d1')?.[0]).to.equal(5);
   });
   it('repeats an order under the next fence, and begins no other change', async () => {
     const d = makeStageBalancerFixture(bare);
@@ -146,8 +147,8 @@
     const d = makeStageBalancerFixture(bare);
     await d.pass(4400);
     expect(d.orders).to.deep.equal(['d1 prefill 4 prefill draining']);
-    expect(Changing.isChanging(d.store, bare[0]!)).to.equal(true);
-    expect(Changing.isChanging(d.store, bare[1]!)).to.equal(false);
+    expect(StageChanges.isChanging(d.store, bare[0]!)).to.equal(true);
+    expect(StageChanges.isChanging(d.store, bare[1]!)).to.equal(false);
   });
   it('repeats an order whose effect is not seen, and ends the change once the list shows it', async () => {
     const d = makeStageBalancerFixture(bare);
@@ -158,7 +159,7 @@
     d.state.servers = [{ ...first!, stage: 'prefill' }, ...rest];
     await d.pass(6800);
     expect(d.orders).to.have.length(2);
-    expect(Changing.isChanging(d.store, d.state.servers[0]!)).to.equal(false);
+    expect(StageChanges.isChanging(d.store, d.state.servers[0]!)).to.equal(false);
   });
   it('treats a demand as lasting once it has been seen for as long as the change would take', async () => {
     const d = makeStageBalancerFixture(
@@ -220,7 +221,7 @@
     await d.pass(4400);
     d.state.fence = null;
     await d.pass(400);
-    expect(Changing.isChanging(d.store, bare[0]!)).to.equal(true);
+    expect(StageChanges.isChanging(d.store, bare[0]!)).to.equal(true);
     d.state.fence = 6;
     d.state.servers = bare.map((s) => ({ ...s }));
     await d.pass(30_000);
--- a/packages/router/src/stageduty.ts
+++ b/packages/router/src/stagebalancer.ts
@@ -1,11 +1,11 @@
-import { Order, Timer, type Clock, type Log } from '@pumicebarrow/forms';
-import type { Holding, Purging } from '@pumicebarrow/purge';
-import type { SheetRow } from '@pumicebarrow/registry';
-import { Changing } from './changing.js';
-import type { Engine } from './engine.js';
+import { VersionOrder, Timer, type Clock, type Log } from '@pumicebarrow/forms';
+import type { RecordStore, GossipNode } from '@pumicebarrow/purge';
+import type { StageAssignment } from '@pumicebarrow/registry';
+import { StageChanges } from './stagechanges.js';
+import type { ModelServerClient } from './modelserverclient.js';
 import type { Server } from './server.js';
 import { Placement } from './placement.js';
-import { StageMix } from './stagemix.js';
+import { StageSizing } from './stagesizing.js';
 
 /** Totals over all routers: tokens queued at prefill servers, tokens queued at decode servers, and runs. */
 type Load = { read: number; beside: number; run: number };
@@ -13,9 +13,9 @@
 type Dependencies = {
   clock: Clock;
   log: Log;
-  engine: Engine;
-  purge: Purging;
-  shelf: Holding;
+  engine: ModelServerClient;
+  gossip: GossipNode;
+  store: RecordStore;
   /** The fence under which this daemon holds the duty at this instant; null if it does not hold it. */
   fence: () => number | null;
   self: string;
@@ -57,9 +57,9 @@
  * of a batch, unless a stage is empty, or has one server and servers have left since the last order. A batch started by
  * another holder is continued.
  */
-export const StageDuty = {
+export const StageBalancer = {
   make(deps: Dependencies) {
-    const sizings = new Map<string, ReturnType<typeof StageMix.make>>();
+    const sizings = new Map<string, ReturnType<typeof StageSizing.make>>();
     const changes = new Map<string, Change>();
     let meanLoad: Load = { read: 0, beside: 0, run: 0 };
     let currentFence: number | null = null;
@@ -73,34 +73,34 @@
     const serversAtLastChange = new Map<string, number>();
     let stop: () => void = () => undefined;
     const now = (): number => deps.clock.mono();
-    const publishRow = (fence: number, server: Server, part: Stage, stage: SheetRow['stage']): void => {
+    const publishRow = (fence: number, server: Server, part: Stage, stage: StageAssignment['stage']): void => {
       const name = `row:${server.id}`;
-      const mark = Order.next(deps.shelf.mark(name), fence);
+      const mark = VersionOrder.next(deps.store.stamp(name), fence);
       if (mark)
-        deps.purge.publish({ name, mark, body: { server: server.id, born: server.id, part, stage, by: deps.self } });
+        deps.gossip.publish({ name, mark, body: { server: server.id, born: server.id, part, stage, by: deps.self } });
     };
     /** Publishes which servers change together. */
     const publishBatch = (fence: number): void => {
-      const mark = Order.next(deps.shelf.mark('changes'), fence);
+      const mark = VersionOrder.next(deps.store.stamp('changes'), fence);
       const rows = [...changes.values()].filter((c) => c.isBatch).map((c) => [c.server.id, c.stage] as const);
-      if (mark) deps.purge.publish({ name: 'changes', mark, body: { rows, by: deps.self } });
+      if (mark) deps.gossip.publish({ name: 'changes', mark, body: { rows, by: deps.self } });
     };
     const sendOrder = async (change: Change): Promise<void> => {
       change.orderedAt = now();
       const fence = deps.fence();
       if (fence === null || fence !== currentFence) return;
-      const result = await deps.engine.order(
+      const result = await deps.engine.setStage(
         change.server,
         { stage: change.stage, holder: deps.self, fence },
         ORDER_TIMEOUT_MS,
       );
-      deps.log.say(`Ordered ${change.server.id} to change to ${change.stage}: ${String(result.val)}.`);
+      deps.log.info(`Ordered ${change.server.id} to change to ${change.stage}: ${String(result.val)}.`);
     };
     const startChange = (fence: number, server: Server, stage: Stage): void => {
       const change = { server, stage, startedAt: now(), orderedAt: now(), isBatch: false };
       changes.set(server.id, change);
       // Removes finished servers from the published batch, since this server may be one of them.
-      if (Changing.batch(deps.shelf).size > 0) publishBatch(fence);
+      if (StageChanges.batch(deps.store).size > 0) publishBatch(fence);
       publishRow(fence, server, stage, 'draining');
       void sendOrder(change);
     };
@@ -117,7 +117,7 @@
     };
     /** Continues a batch announced by the previous holder; otherwise routers would wait for its end in vain. */
     const inheritBatch = (all: readonly Server[]): void => {
-      for (const [id, stage] of Changing.batch(deps.shelf)) {
+      for (const [id, stage] of StageChanges.batch(deps.store)) {
         const server = all.find((s) => s.id === id);
         if (server) changes.set(id, { server, stage, startedAt: now(), orderedAt: now(), isBatch: true });
       }
@@ -143,7 +143,7 @@
       // Finished servers stay in the published batch until all are finished, since a router may hold a list that does
       // not show their change yet.
       const batchUnderWay = [...changes.values()].some((c) => c.isBatch);
-      if (gaveUp || (!batchUnderWay && Changing.batch(deps.shelf).size > 0)) publishBatch(fence);
+      if (gaveUp || (!batchUnderWay && StageChanges.batch(deps.store).size > 0)) publishBatch(fence);
     };
     /** The server whose zone has the most servers of this stage; ties are broken the same way each time. */
     const pickServer = (list: readonly Server[]): Server | undefined => {
@@ -158,7 +158,7 @@
       const stageAfterChange = (s: Server): Stage => changes.get(s.id)?.stage ?? s.stage!;
       const serversOf = (stage: Stage): Server[] => members.filter((s) => stageAfterChange(s) === stage);
       const count = { prefill: serversOf('prefill').length, decode: serversOf('decode').length };
-      const sizing = sizings.get(service) ?? StageMix.make();
+      const sizing = sizings.get(service) ?? StageSizing.make();
       sizings.set(service, sizing);
       // If only one server prefills, what is read at decode servers is what that one has no time for.
       const waiting = meanLoad.read + (count.prefill === 1 ? meanLoad.beside : 0);
@@ -166,11 +166,11 @@
         read: waiting / TOKENS_PER_MS / Math.max(1, count.prefill),
         run:
           (meanLoad.run +
-            (members.length < StageMix.LARGE_SERVICE_SERVERS ? 0 : meanLoad.beside / DECODE_READ_TOKENS_PER_RUN)) /
+            (members.length < StageSizing.LARGE_SERVICE_SERVERS ? 0 : meanLoad.beside / DECODE_READ_TOKENS_PER_RUN)) /
           Math.max(1, count.decode),
         room: Math.max(1, ...members.map((s) => s.slots)) * Placement.SLOT_FRACTION,
       };
-      const move = sizing.look(load, count, Math.ceil((deps.away(service) * DRAIN_TIME_FACTOR) / CHECK_INTERVAL_MS));
+      const move = sizing.decide(load, count, Math.ceil((deps.away(service) * DRAIN_TIME_FACTOR) / CHECK_INTERVAL_MS));
       const stageIsEmpty = count.prefill < 1 || count.decode < 1;
       // If one server is all of a stage, a change ordered when the service had more servers is no reason to wait.
       const stageHasOne = (move > 0 ? count.prefill : count.decode) === 1;
@@ -190,7 +190,7 @@
         chosen.push(next);
       }
       if (chosen.length === 0) return;
-      deps.log.say(
+      deps.log.info(
         `${service}: ${count.prefill} prefill, ${count.decode} decode; ${Math.round(load.read)} ms prefill queue, ` +
           `${Math.round(load.run)} runs per server, ${Math.round(meanLoad.beside / TOKENS_PER_MS)} ms read queue; ` +
           `${chosen.length} change to ${to}.`,
@@ -221,7 +221,7 @@
       const leasePending = now() - heldSince < deps.lease + LEASE_MARGIN_MS;
       const load = deps.load();
       const all = deps.servers();
-      const weight = all.length < StageMix.LARGE_SERVICE_SERVERS ? SAMPLE_WEIGHT : LARGE_SERVICE_SAMPLE_WEIGHT;
+      const weight = all.length < StageSizing.LARGE_SERVICE_SERVERS ? SAMPLE_WEIGHT : LARGE_SERVICE_SAMPLE_WEIGHT;
       const blend = (a: number, b: number): number => a * (1 - weight) + b * weight;
       meanLoad = {
         read: blend(meanLoad.read, load.read),
--- a/packages/router/src/stagemany.test.ts
+++ b/packages/router/src/stagebalancerlarge.test.ts
@@ -1,8 +1,8 @@
 import { expect } from 'chai';
-import { Changing } from './changing.js';
+import { StageChanges } from './stagechanges.js';
 import type { Server } from './server.js';
-import { server } from './stand.test.js';
-import { makeStageBalancerFixture } from './stagestand.test.js';
+import { server } from './fixtures.test.js';
+import { makeStageBalancerFixture } from './stagebalancerfixture.test.js';
 
 describe('stage balancing in a large service', () => {
   const many = Array.from({ length: 30 }, (_, i) => server(`s${10 + i}`, i < 10 ? 'prefill' : 'decode'));
@@ -10,7 +10,7 @@
     const d = makeStageBalancerFixture(many);
     await d.pass(4000);
     d.state.load = { read: 400_000, beside: 0, run: 60 };
-    const announcedCount = () => many.filter((s) => Changing.isChanging(d.store, s)).length;
+    const announcedCount = () => many.filter((s) => StageChanges.isChanging(d.store, s)).length;
     let at = 0;
     for (; announcedCount() === 0 && at < 8000; at += 400) await d.pass(400);
     expect(announcedCount()).to.equal(7);
@@ -18,13 +18,13 @@
     expect(d.orders).to.have.length(0);
     await d.pass(1200);
     expect(d.orders).to.have.length(7);
-    expect([...d.store.table().keys()].filter((name) => name.startsWith('row:'))).to.deep.equal([]);
+    expect([...d.store.records().keys()].filter((name) => name.startsWith('row:'))).to.deep.equal([]);
   });
   it('starts no further change before most of the batch is done, and lists the batch until all are done', async () => {
     const d = makeStageBalancerFixture(many);
     d.state.load = { read: 400_000, beside: 0, run: 60 };
     await d.pass(10_000);
-    const first = [...Changing.batch(d.store).keys()];
+    const first = [...StageChanges.batch(d.store).keys()];
     expect(first.length).to.be.within(6, 7);
     const shown = (done: readonly string[]): Server[] =>
       many.map((s) => (done.includes(s.id) ? { ...s, stage: 'prefill' as const } : s));
@@ -32,16 +32,16 @@
     await d.pass(4000);
     d.state.servers = shown(first.slice(0, -1));
     await d.pass(400);
-    expect([...Changing.batch(d.store).keys()]).to.deep.equal(first);
+    expect([...StageChanges.batch(d.store).keys()]).to.deep.equal(first);
     expect(
-      Changing.isChanging(
+      StageChanges.isChanging(
         d.store,
         many.find((s) => s.id === first[0])!,
       ),
     ).to.equal(true);
     d.state.servers = shown(first);
     await d.pass(800);
-    expect(Changing.batch(d.store).size).to.equal(0);
+    expect(StageChanges.batch(d.store).size).to.equal(0);
   });
   it('continues a batch announced by another holder', async () => {
     const d = makeStageBalancerFixture(many);
--- a/packages/router/src/changesbody.ts
+++ b/packages/router/src/stagechangesbody.ts
@@ -5,7 +5,7 @@
  * stage, and the id of the replica that ordered it (`by`). All of them share one document, since one notice per server
  * would fill the gossip caches. The document's version stamp is (fence, step).
  */
-export const ChangesBody = Type.Object(
+export const StageChangesBody = Type.Object(
   {
     rows: Type.Array(
       Type.Tuple([Type.String({ maxLength: 120 }), Type.Union([Type.Literal('prefill'), Type.Literal('decode')])]),
@@ -15,4 +15,4 @@
   },
   { additionalProperties: false },
 );
-export type ChangesBody = Static<typeof ChangesBody>;
+export type StageChangesBody = Static<typeof StageChangesBody>;
--- a/packages/router/src/stagemix.ts
+++ b/packages/router/src/stagesizing.ts
@@ -50,7 +50,7 @@
  * without servers gets one at once. If decode servers are full, requests are rejected for which prefill servers would
  * have time; then prefill servers change to decode, if they are the majority or have little queued.
  */
-export const StageMix = {
+export const StageSizing = {
   LARGE_SERVICE_SERVERS: LARGE,
   /**
    * Pressure of the busier stage after a change; the total work stays the same, so other servers take what one gives
@@ -58,9 +58,9 @@
    */
   pressure(load: Load, now: Count, next: Count): number {
     if (next.prefill < 1 || next.decode < 1) return Infinity;
-    const read = StageMix.scaledQueue(load.read, HALF_USED.read, now.prefill / next.prefill);
-    const run = StageMix.scaledQueue(load.run, HALF_USED.run, now.decode / next.decode);
-    return Math.max(read / BUSY_READ_MS, run / (StageMix.maxMoves(now) > 1 ? LARGE_BUSY_RUNS : BUSY_RUNS));
+    const read = StageSizing.scaledQueue(load.read, HALF_USED.read, now.prefill / next.prefill);
+    const run = StageSizing.scaledQueue(load.run, HALF_USED.run, now.decode / next.decode);
+    return Math.max(read / BUSY_READ_MS, run / (StageSizing.maxMoves(now) > 1 ? LARGE_BUSY_RUNS : BUSY_RUNS));
   },
   /** Queue or run count once each server takes `ratio` times the work: a queue grows faster than its load. */
   scaledQueue(amount: number, half: number, ratio: number): number {
@@ -76,12 +76,12 @@
     if (now.prefill + now.decode < 2) return now.prefill > 0 ? -1 : 0;
     if (now.prefill < 1) return 1;
     if (now.decode < 1) return -1;
-    const maxMoves = StageMix.maxMoves(now);
+    const maxMoves = StageSizing.maxMoves(now);
     const decodeFull = load.room !== undefined && load.run >= load.room * FULL_DECODE_FRACTION;
     if (decodeFull && now.prefill > 1 && (now.prefill > now.decode || load.read < LIGHT_READ_MS))
       return -Math.ceil(Math.min(maxMoves, now.prefill - 1) / 2);
     const pressureAfter = (by: number): number =>
-      StageMix.pressure(load, now, { prefill: now.prefill + by, decode: now.decode - by });
+      StageSizing.pressure(load, now, { prefill: now.prefill + by, decode: now.decode - by });
     const currentPressure = pressureAfter(0);
     if (currentPressure < (maxMoves > 1 ? LARGE_MIN_PRESSURE : MIN_PRESSURE)) return 0;
     const moves = Array.from({ length: maxMoves }, (_, i) => [i + 1, -i - 1]).flat();
@@ -89,14 +89,14 @@
     if (!(lowest <= currentPressure * REQUIRED_GAIN_RATIO)) return 0;
     return moves.find((by) => pressureAfter(by) <= lowest * NEAR_BEST_RATIO) ?? 0;
   },
-  direction: (load: Load, now: Count): -1 | 0 | 1 => Math.sign(StageMix.serversToMove(load, now)) as -1 | 0 | 1,
+  direction: (load: Load, now: Count): -1 | 0 | 1 => Math.sign(StageSizing.serversToMove(load, now)) as -1 | 0 | 1,
   make() {
     let observations = 0;
     let lastDirection = 0;
     return {
       /** Number of servers that should change now, given what was observed before. */
-      look(load: Load, now: Count, minObservations = MIN_OBSERVATIONS): number {
-        const move = StageMix.serversToMove(load, now);
+      decide(load: Load, now: Count, minObservations = MIN_OBSERVATIONS): number {
+        const move = StageSizing.serversToMove(load, now);
         const direction = Math.sign(move);
         observations = direction !== 0 && direction === lastDirection ? observations + 1 : 1;
         lastDirection = direction;
@@ -104,7 +104,7 @@
         // If a stage has one server, a change doubles its capacity: that is worth a change even for a short demand.
         const stageHasOne = (direction > 0 ? now.prefill : now.decode) === 1;
         const required =
-          stageHasOne || StageMix.maxMoves(now) > 1 ? MIN_OBSERVATIONS : Math.max(MIN_OBSERVATIONS, minObservations);
+          stageHasOne || StageSizing.maxMoves(now) > 1 ? MIN_OBSERVATIONS : Math.max(MIN_OBSERVATIONS, minObservations);
         return direction !== 0 && (stageIsEmpty || observations >= required) ? move : 0;
       },
       reset(): void {
--- a/packages/router/src/statusdesk.ts
+++ b/packages/router/src/statushandler.ts
@@ -1,16 +1,16 @@
-import { Intents, type Clock, type Ident, type Mark, type PostBox } from '@pumicebarrow/forms';
-import type { Holding } from '@pumicebarrow/purge';
-import type { CharterBody, SheetRow, View } from '@pumicebarrow/registry';
+import { Configurations, type Clock, type Ident, type VersionStamp, type Messenger } from '@pumicebarrow/forms';
+import type { RecordStore } from '@pumicebarrow/purge';
+import type { ConfigurationBody, StageAssignment, View } from '@pumicebarrow/registry';
 import { Type } from 'typebox';
 import { DaemonStatus } from './daemonstatus.js';
-import type { ListBody } from './listbody.js';
-import { ListRows } from './listrows.js';
+import type { ServerListBody } from './serverlistbody.js';
+import { ServerListRows } from './serverlistrows.js';
 import type { Server } from './server.js';
 
 type Dependencies = {
   clock: Clock;
-  post: PostBox;
-  store: Holding;
+  post: Messenger;
+  store: RecordStore;
   self: () => Ident;
   state: () => string;
   isConfirmed: () => boolean;
@@ -26,35 +26,35 @@
 const finite = (ms: number | null): number | null => (ms !== null && Number.isFinite(ms) ? ms : null);
 
 /** Answers operators' status queries. Invariant: status is collected and sent only on request. */
-export const StatusDesk = {
-  forms: {
+export const StatusHandler = {
+  schemas: {
     request: Type.Object({ servers: Type.Boolean() }, { additionalProperties: false }),
-    told: DaemonStatus,
+    response: DaemonStatus,
   },
   make(deps: Dependencies): void {
     let configurationSince = deps.clock.mono();
-    deps.store.heed((doc) => {
+    deps.store.onChange((doc) => {
       if (doc.name === 'charter') configurationSince = deps.clock.mono();
     });
     const configuration = (): DaemonStatus['configuration'] => {
       const doc = deps.store.get('charter');
       if (!doc) return null;
-      const revision = Intents.revision((doc.body as CharterBody).charter);
+      const revision = Configurations.revisionOf((doc.body as ConfigurationBody).charter);
       return { revision, version: doc.mark[0], age: deps.clock.mono() - configurationSince };
     };
-    const heldList = (): ListBody =>
-      (deps.store.get('list')?.body as ListBody | undefined) ?? { rows: [], services: [], zones: [] };
+    const heldList = (): ServerListBody =>
+      (deps.store.get('list')?.body as ServerListBody | undefined) ?? { rows: [], services: [], zones: [] };
     const orders = (): NonNullable<DaemonStatus['orders']> =>
-      [...deps.store.table().values()]
+      [...deps.store.records().values()]
         .filter((doc) => doc.name.startsWith('row:'))
         .map((d) => {
-          const row = d.body as SheetRow;
+          const row = d.body as StageAssignment;
           return { server: row.server, stage: row.part, done: row.stage === 'serving', by: row.by, mark: d.mark };
         });
-    deps.post.on('status.tell', StatusDesk.forms.request, (body): DaemonStatus => {
+    deps.post.on('status.tell', StatusHandler.schemas.request, (body): DaemonStatus => {
       const list = deps.list();
-      const mark: Mark | null = deps.store.mark('list');
-      const servers = (): Server[] => ListRows.open(heldList());
+      const mark: VersionStamp | null = deps.store.stamp('list');
+      const servers = (): Server[] => ServerListRows.unpack(heldList());
       return {
         ...{
           who: deps.self(),
--- a/packages/router/src/tenantkeys.test.ts
+++ b/packages/router/src/tenantkeys.test.ts
@@ -1,7 +1,7 @@
 import { KeyDigest, type Tenant } from '@pumicebarrow/forms';
 import { expect } from 'chai';
-import { SHORT_PROMPT, play, type Scenario } from './play.test.js';
-import { prompt } from './stand.test.js';
+import { SHORT_PROMPT, runScenario, type Scenario } from './scenario.test.js';
+import { prompt } from './fixtures.test.js';
 
 const [MINE, THEIRS] = [KeyDigest.of('mine'), KeyDigest.of('theirs')];
 const tenants: Tenant[] = [
@@ -11,7 +11,7 @@
 const without = [{ name: 'one', keys: [] }, tenants[1]!];
 const withKey = (keyDigest: string | null) => ({
   ...SHORT_PROMPT.request,
-  ...{ key: keyDigest, headers: [['Authorization', 'Token mine'] as const, ['X-Kept', '1'] as const] },
+  ...{ keyDigest, headers: [['Authorization', 'Token mine'] as const, ['X-Kept', '1'] as const] },
 });
 const run = { run: 'ok', events: 1 } as const;
 const BOUND = 5000;
@@ -58,7 +58,7 @@
   ];
   for (const [name, setting, want] of cases)
     it(name, async () => {
-      const got = await play(setting);
+      const got = await runScenario(setting);
       expect(got.verdict?.code).to.equal(want.code);
       if (want.code !== undefined) {
         expect(got.verdict?.ran).to.equal('no');
@@ -73,13 +73,13 @@
     const of = async (rank: number) => {
       const ranked = [{ name: 'one', keys: [MINE], rank }];
       const longer = { ...withKey(MINE), prompt: prompt(1500, 1000) };
-      const got = await play({ script: [run], tenants: ranked, route: { rank: 2 }, request: longer });
+      const got = await runScenario({ script: [run], tenants: ranked, route: { rank: 2 }, request: longer });
       return got.urgencies[0]!;
     };
     expect(await of(0)).to.be.lessThan(await of(2));
   });
   it('is not run if its key is revoked while it waits', async () => {
-    const got = await play({
+    const got = await runScenario({
       ...{
         script: [run],
         loadQueryMs: 50,
@@ -87,41 +87,41 @@
         request: withKey(MINE),
         secondTenants: { ms: 20, tenants: without },
       },
-      duringRequest: (t) => t.pass(2000),
+      duringRequest: (t) => t.advance(2000),
     });
     expect(got.calls).to.deep.equal([]);
     expect([got.verdict?.ran, got.verdict?.code]).to.deep.equal(['no', 'revokedkey']);
   });
   it('is not sent to a second server after its key was revoked, and is reported as possibly run', async () => {
-    const got = await play({
+    const got = await runScenario({
       script: [{ run: 'late', hang: true }, run],
       ...{ tenants, request: withKey(MINE), secondTenants: { ms: 20, tenants: without } },
-      duringRequest: (t) => t.pass(2500),
+      duringRequest: (t) => t.advance(2500),
     });
     expect(got.calls).to.have.length(1);
     expect([got.verdict?.ran, got.verdict?.code]).to.deep.equal(['maybe', 'broken']);
   });
   it('whose response has started continues until shortly before the revocation bound and is then aborted', async () => {
     let before = '';
-    const got = await play({
+    const got = await runScenario({
       script: [{ run: 'ok', events: 1, hang: true }],
       route: { resumable: false },
       ...{ tenants, request: withKey(MINE), secondTenants: { ms: 20, tenants: without } },
       async duringRequest(t, out) {
-        await t.pass(BOUND - 700);
+        await t.advance(BOUND - 700);
         before = out.log.at(-1)!;
-        await t.pass(700);
+        await t.advance(700);
       },
     });
     expect([before, got.log.at(-1)]).to.deep.equal(['1;', 'cut']);
   });
   it('on an open route continues although its key was revoked', async () => {
-    const got = await play({
+    const got = await runScenario({
       script: [{ run: 'ok', events: 1, hang: true }],
       route: { resumable: false, open: true },
       ...{ tenants, request: withKey(MINE), secondTenants: { ms: 20, tenants: without } },
       async duringRequest(t, out) {
-        await t.pass(BOUND);
+        await t.advance(BOUND);
         expect(out.log.at(-1)).to.equal('1;');
         out.disconnect();
       },
@@ -129,7 +129,7 @@
     expect(got.log.at(-1)).to.equal('cut');
   });
   it('continues if its key is valid again before the bound', async () => {
-    const got = await play({
+    const got = await runScenario({
       script: [{ run: 'ok', events: 1, hang: true }],
       route: { resumable: false },
       ...{
@@ -139,7 +139,7 @@
         thirdTenants: { ms: 1000, tenants },
       },
       async duringRequest(t, out) {
-        await t.pass(BOUND);
+        await t.advance(BOUND);
         expect(out.log.at(-1)).to.equal('1;');
         out.disconnect();
       },
--- a/packages/router/src/urgency.test.ts
+++ b/packages/router/src/urgency.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { routing } from './stand.test.js';
+import { routing } from './fixtures.test.js';
 import { Urgency } from './urgency.js';
 
 describe('the urgency of a request', () => {
@@ -16,5 +16,5 @@
     ['a request that misses its target even alone goes last', 900, 0, 7],
   ];
   for (const [name, ms, rank, want, ahead = false] of cases)
-    it(name, () => expect(Urgency.of({ ...route, rank }, ms, ahead)).to.equal(want));
+    it(name, () => expect(Urgency.levelOf({ ...route, rank }, ms, ahead)).to.equal(want));
 });
